--- a/Source/Daemon/admission_duty.cc
+++ b/Source/Daemon/admission_duty.cc
@@ -109,7 +109,7 @@
   }
 }
 
-auto AdmissionDuty::CarryOne(const CountRefusal& count) -> void {
+auto AdmissionDuty::CarryOne(const CountRejection& count) -> void {
   metrics_->AddReason("refused", count.reason);
 }
 
--- a/Source/Daemon/admission_duty.h
+++ b/Source/Daemon/admission_duty.h
@@ -40,7 +40,7 @@
   auto Carry(const AdmissionActions& actions) -> void;
   auto CarryOne(const CallEndpoint& call) -> void;
   auto CarryOne(const SendToEntry& send) -> void;
-  auto CarryOne(const CountRefusal& count) -> void;
+  auto CarryOne(const CountRejection& count) -> void;
 
   std::vector<std::string> entries_;
   AgentAdmission admission_;
--- a/Source/Daemon/caller_api.cc
+++ b/Source/Daemon/caller_api.cc
@@ -154,7 +154,7 @@
                                           : repeatable == "true";
   if (!request.repeatable && !key.empty()) {
     // Keys of different services never meet.
-    request.once_key = absl::StrCat(parts[0], "/", parts[1], "/", key);
+    request.idempotency_key = absl::StrCat(parts[0], "/", parts[1], "/", key);
   }
   request.deadline = *deadline;
   request.http.set_method(http.method);
--- a/Source/Daemon/entry_daemon.cc
+++ b/Source/Daemon/entry_daemon.cc
@@ -144,12 +144,12 @@
   };
   hooks.on_record = [this](TimePoint now, uint64_t offset,
                            const schema::LogRecord& record) -> void {
-    router_.OnOnceRecord(now, offset, record);
+    router_.OnIdempotencyRecord(now, offset, record);
   };
   hooks.on_snapshot = [](TimePoint, const std::string&) -> void {};
   hooks.on_caught_up = [](TimePoint, TimePoint) -> void {};
   hooks.on_reachable = [this](TimePoint now, bool reachable) -> void {
-    router_.OnOnceStream(now, reachable);
+    router_.OnIdempotencyStream(now, reachable);
   };
   hooks.on_append_failed = [this](TimePoint now,
                                   const schema::LogEntry& entry) -> void {
--- a/Source/Daemon/router_duty.cc
+++ b/Source/Daemon/router_duty.cc
@@ -40,14 +40,14 @@
   });
 }
 
-auto RouterDuty::OnOnceRecord(TimePoint now,
-                              uint64_t offset,
-                              const schema::LogRecord& record) -> void {
-  Carry(now, router_.OnOnceRecord(now, offset, record));
+auto RouterDuty::OnIdempotencyRecord(TimePoint now,
+                                     uint64_t offset,
+                                     const schema::LogRecord& record) -> void {
+  Carry(now, router_.OnIdempotencyRecord(now, offset, record));
 }
 
-auto RouterDuty::OnOnceStream(TimePoint now, bool available) -> void {
-  Carry(now, router_.OnOnceStream(now, available));
+auto RouterDuty::OnIdempotencyStream(TimePoint now, bool available) -> void {
+  Carry(now, router_.OnIdempotencyStream(now, available));
 }
 
 auto RouterDuty::OnAppendFailed(TimePoint now, const schema::LogEntry& entry)
@@ -103,7 +103,8 @@
   }
 }
 
-auto RouterDuty::CarryOne(TimePoint now, AppendOnce& append) -> void {
+auto RouterDuty::CarryOne(TimePoint now, AppendIdempotencyEntry& append)
+    -> void {
   if (!hooks_.append_once(append.entry)) {
     Carry(now, router_.OnAppendFailed(now, append.entry));
   }
--- a/Source/Daemon/router_duty.h
+++ b/Source/Daemon/router_duty.h
@@ -38,10 +38,10 @@
     thread_.PostOrWait(job);
   }
   // On the router's thread only.
-  auto OnOnceRecord(TimePoint now,
-                    uint64_t offset,
-                    const schema::LogRecord& record) -> void;
-  auto OnOnceStream(TimePoint now, bool available) -> void;
+  auto OnIdempotencyRecord(TimePoint now,
+                           uint64_t offset,
+                           const schema::LogRecord& record) -> void;
+  auto OnIdempotencyStream(TimePoint now, bool available) -> void;
   auto OnAppendFailed(TimePoint now, const schema::LogEntry& entry) -> void;
   auto SetServices(std::vector<schema::VersionedObject> objects) -> void;
   // Calls back on the router's thread.
@@ -59,7 +59,7 @@
   auto Carry(TimePoint now, RouterActions actions) -> void;
   auto CarryOne(TimePoint now, const CallerReply& reply) -> void;
   auto CarryOne(TimePoint now, SendToAgent& send) -> void;
-  auto CarryOne(TimePoint now, AppendOnce& append) -> void;
+  auto CarryOne(TimePoint now, AppendIdempotencyEntry& append) -> void;
   auto CarryOne(TimePoint now, const CountReason& count) -> void;
 
   EntryRouter router_;
--- a/Source/Routing/agent_admission.h
+++ b/Source/Routing/agent_admission.h
@@ -18,12 +18,13 @@
   uint32_t connections = 64;
   std::chrono::milliseconds credit_ttl{1000};
   std::chrono::milliseconds announce_interval{250};
-  // How long a finished attempt's answer is kept for a recall.
+  // How long the answer of a finished attempt is kept so that a recall can
+  // return it.
   std::chrono::milliseconds answer_retention{10000};
   std::size_t answer_retention_bytes = 8 << 20;
 };
 
-// Call the endpoint; the outcome comes back by `OnEndpointAnswer`.
+// Calls the endpoint. The outcome is passed back to `OnEndpointAnswer`.
 struct CallEndpoint {
   uint64_t attempt_id = 0;
   std::string request_id;
@@ -33,17 +34,18 @@
   schema::HttpRequest http;
 };
 
-// To one entry, by the peer name under which its messages come in.
+// Sends a message to one entry, identified by the peer name that its messages
+// carry.
 struct SendToEntry {
   std::string entry;
   schema::Envelope message;
 };
 
-struct CountRefusal {
+struct CountRejection {
   schema::Reason reason = schema::REASON_NONE;
 };
 
-using AdmissionAction = std::variant<CallEndpoint, SendToEntry, CountRefusal>;
+using AdmissionAction = std::variant<CallEndpoint, SendToEntry, CountRejection>;
 using AdmissionActions = std::vector<AdmissionAction>;
 
 // The outcome of a call of the endpoint.
@@ -55,9 +57,9 @@
   std::chrono::microseconds service_time{0};
 };
 
-// Decides at an agent which offers run: grants credits that expire on the
-// agent's own clock, recognises stale and repeated offers, keeps a bounded
-// queue, vouches for what never ran.
+// Decides which offers an agent runs. It grants credits that expire by the
+// agent's own clock, detects stale and duplicate offers, keeps a bounded queue,
+// and confirms which attempts never ran.
 class AgentAdmission {
  public:
   explicit AgentAdmission(AdmissionOptions options);
@@ -65,24 +67,26 @@
   auto operator=(const AgentAdmission&) -> AgentAdmission& = delete;
   ~AgentAdmission();
 
-  // Offer and Recall, from an entry.
+  // Handles an Offer or a Recall from an entry.
   auto OnMessage(TimePoint now,
                  const std::string& entry,
                  const schema::Envelope& message) -> AdmissionActions;
   auto OnEndpointAnswer(TimePoint now, EndpointOutcome outcome)
       -> AdmissionActions;
-  // Entries to which the agent announces itself.
+  // Sets the entries to which the agent announces itself.
   auto SetEntries(TimePoint now, const std::vector<std::string>& entries)
       -> AdmissionActions;
-  // Fields of the announcement that do not concern admission.
+  // Sets the fields of the announcement that do not concern admission.
   auto SetIdentity(schema::Announce identity) -> void;
   auto SetEndpointHealthy(TimePoint now, bool healthy) -> AdmissionActions;
-  // A planned stop: no new work, what is in progress is finished.
+  // Begins a planned stop: the agent accepts no new work and finishes what is
+  // in progress.
   auto Leave(TimePoint now) -> AdmissionActions;
   auto OnTick(TimePoint now) -> AdmissionActions;
   auto next_wake() const -> TimePoint;
 
-  // True when a planned stop may end: nothing runs and nothing is queued.
+  // True if nothing runs and nothing is queued, so that a planned stop may
+  // finish.
   auto idle() const -> bool;
   auto running() const -> uint32_t;
   auto queued() const -> uint32_t;
--- a/Source/Routing/agent_admission_impl.cc
+++ b/Source/Routing/agent_admission_impl.cc
@@ -7,19 +7,20 @@
 namespace rhubarbhaven {
 namespace {
 
-// Windows are planned for the slots and as many waiting requests, which hides
-// the way to the entries and back; overlapping windows may queue twice that.
-constexpr uint32_t kPlannedPlacesPerSlot = 2;
-constexpr uint32_t kLongestQueuePerSlot = 2;
-// A waiting attempt is given up this long before its deadline, so that the
-// entry hears in time that it did not run.
+// Windows cover the slots and as many queued requests, which hides the round
+// trip to the entries. Overlapping windows may queue twice that.
+constexpr uint32_t kWindowCapacityPerSlot = 2;
+constexpr uint32_t kMaxQueuedPerSlot = 2;
+// A queued attempt expires this long before its deadline, so that the entry
+// receives the `not_run` answer in time.
 constexpr std::chrono::milliseconds kAnswerMargin{10};
-// Weight of the newest service time in the smoothed one.
+// Weight of the newest sample in the smoothed service time.
 constexpr double kServiceTimeGain = 0.1;
-// A service time that no request has confirmed for this long says nothing any
-// more: an endpoint that was slow once would count as slow until requests come.
-// Entries that have requests send one a second to each endpoint.
-constexpr std::chrono::seconds kServiceTimeHolds{10};
+// A service time that no request has confirmed for this long is discarded.
+// Otherwise an endpoint that was slow once would count as slow until it
+// receives requests again. Entries with traffic send at least one request per
+// second to each endpoint.
+constexpr std::chrono::seconds kServiceTimeRetention{10};
 
 using std::chrono::milliseconds;
 
@@ -29,8 +30,8 @@
     : options_(std::move(options)),
       slots_(std::max(1U, std::min(options_.slots, options_.connections))),
       ledger_(options_.credit_ttl),
-      planner_(kPlannedPlacesPerSlot * slots_, options_.announce_interval),
-      // A refused attempt is remembered longer than its credit lives.
+      planner_(kWindowCapacityPerSlot * slots_, options_.announce_interval),
+      // A rejected attempt is kept for longer than its credit is valid.
       attempts_({.retention = std::max(options_.answer_retention,
                                        2 * options_.credit_ttl),
                  .max_answer_bytes = options_.answer_retention_bytes}) {}
@@ -40,12 +41,12 @@
                                    uint64_t incarnation,
                                    const schema::Offer& offer) -> void {
   if (Attempt* known = attempts_.Find(offer.attempt_id())) {
-    OnKnownOffer(now, entry, *known, offer);
+    OnDuplicateOffer(now, entry, *known, offer);
     return;
   }
-  const schema::Reason reason = ReasonToRefuse(now, entry, offer);
+  const schema::Reason reason = RejectionReason(now, entry, offer);
   if (reason != schema::REASON_NONE) {
-    Refuse(now, entry, incarnation, offer.attempt_id(), reason);
+    Reject(now, entry, incarnation, offer.attempt_id(), reason);
     return;
   }
   attempts_.Add(offer.attempt_id(),
@@ -99,21 +100,21 @@
 auto AgentAdmission::Impl::OnEndpointAnswer(TimePoint now,
                                             EndpointOutcome outcome) -> void {
   Attempt* attempt = attempts_.Find(outcome.attempt_id);
-  // An answer may come twice or after the attempt was given up; it must not
-  // free a slot that another attempt holds.
+  // An answer may be duplicated or arrive after its attempt has ended. It must
+  // not release a slot that another attempt holds.
   if (attempt == nullptr || attempt->state != Attempt::State::kRunning) {
     Count(schema::MESSAGE_LATE);
     return;
   }
   --running_;
-  Learn(now, outcome);
+  UpdateServiceTime(now, outcome);
   schema::Answer answer;
   answer.set_attempt_id(outcome.attempt_id);
   answer.set_verdict(outcome.verdict);
   answer.set_reason(outcome.reason);
   if (outcome.verdict == schema::ANSWERED) {
     *answer.mutable_http() = std::move(outcome.http);
-    DropUnencodable(*answer.mutable_http());
+    RemoveUnencodableHeaders(*answer.mutable_http());
   } else {
     Count(outcome.reason);
   }
@@ -160,8 +161,8 @@
 }
 
 auto AgentAdmission::Impl::OnTick(TimePoint now) -> void {
-  attempts_.DropOld(now);
-  ForgetOldServiceTime(now);
+  attempts_.RemoveExpired(now);
+  ExpireServiceTime(now);
   StartQueued(now);
   if (now >= next_announce_) {
     AnnounceToAll(now);
@@ -177,14 +178,15 @@
 }
 
 auto AgentAdmission::Impl::Count(schema::Reason reason) -> void {
-  actions_.emplace_back(CountRefusal{reason});
+  actions_.emplace_back(CountRejection{reason});
 }
 
-auto AgentAdmission::Impl::ReasonToRefuse(TimePoint now,
-                                          const std::string& entry,
-                                          const schema::Offer& offer)
+auto AgentAdmission::Impl::RejectionReason(TimePoint now,
+                                           const std::string& entry,
+                                           const schema::Offer& offer)
     -> schema::Reason {
-  // Sent to an earlier process in this place; its credits mean nothing here.
+  // The offer was sent to an earlier incarnation of this agent, whose credits
+  // are not valid here.
   if (offer.agent_incarnation() != options_.incarnation) {
     return schema::WRONG_INCARNATION;
   }
@@ -201,21 +203,23 @@
   if (milliseconds(offer.remaining_ms()) <= kAnswerMargin) {
     return schema::DEADLINE_PASSED;
   }
-  const bool has_place =
-      running_ < slots_ || queued() < kLongestQueuePerSlot * slots_;
-  if (!has_place || attempts_.full()) {
+  const bool has_capacity =
+      running_ < slots_ || queued() < kMaxQueuedPerSlot * slots_;
+  if (!has_capacity || attempts_.full()) {
     return schema::AGENT_BUSY;
   }
   return schema::REASON_NONE;
 }
 
-auto AgentAdmission::Impl::OnKnownOffer(TimePoint now,
-                                        const std::string& entry,
-                                        const Attempt& known,
-                                        const schema::Offer& offer) -> void {
+auto AgentAdmission::Impl::OnDuplicateOffer(TimePoint now,
+                                            const std::string& entry,
+                                            const Attempt& known,
+                                            const schema::Offer& offer)
+    -> void {
   Count(schema::DUPLICATE_ATTEMPT);
   if (known.entry != entry) {
-    // Another entry's attempt has the id; this one certainly did not run.
+    // The id belongs to an attempt of another entry, so this attempt did not
+    // run.
     Send(now, entry, NotRun(offer.attempt_id(), schema::DUPLICATE_ATTEMPT));
     return;
   }
@@ -232,17 +236,17 @@
     Count(schema::AGENT_BUSY);
     return;
   }
-  Refuse(now, entry, incarnation, id, schema::RECALLED);
+  Reject(now, entry, incarnation, id, schema::RECALLED);
 }
 
-auto AgentAdmission::Impl::Refuse(TimePoint now,
+auto AgentAdmission::Impl::Reject(TimePoint now,
                                   const std::string& entry,
                                   uint64_t incarnation,
                                   uint64_t id,
                                   schema::Reason reason) -> void {
   Count(reason);
   schema::Answer answer = NotRun(id, reason);
-  if (attempts_.MayBeForgotten(entry, incarnation, id)) {
+  if (attempts_.MayHaveBeenRemoved(entry, incarnation, id)) {
     answer.set_verdict(schema::MAY_HAVE_RUN);
   }
   if (!attempts_.full()) {
@@ -259,7 +263,7 @@
 
 auto AgentAdmission::Impl::StartQueued(TimePoint now) -> void {
   if (now >= queue_deadline_) {
-    DropOverdue(now);
+    ExpireQueued(now);
   }
   while (running_ < slots_ && !queue_.empty()) {
     const uint64_t id = queue_.front();
@@ -268,7 +272,7 @@
   }
 }
 
-auto AgentAdmission::Impl::DropOverdue(TimePoint now) -> void {
+auto AgentAdmission::Impl::ExpireQueued(TimePoint now) -> void {
   queue_deadline_ = TimePoint::max();
   for (const uint64_t id : std::exchange(queue_, {})) {
     const TimePoint last_start = attempts_.Find(id)->deadline - kAnswerMargin;
@@ -305,13 +309,14 @@
   Send(now, entry, std::move(answer));
 }
 
-auto AgentAdmission::Impl::Learn(TimePoint now, const EndpointOutcome& outcome)
+auto AgentAdmission::Impl::UpdateServiceTime(TimePoint now,
+                                             const EndpointOutcome& outcome)
     -> void {
-  // A fast failure says nothing of how long work takes.
+  // A request that did not run gives no information about the service time.
   if (outcome.verdict == schema::NOT_RUN) {
     return;
   }
-  learned_at_ = now;
+  service_time_updated_at_ = now;
   const auto newest = static_cast<double>(outcome.service_time.count());
   service_time_us_ =
       service_time_us_ == 0
@@ -319,8 +324,9 @@
           : service_time_us_ + kServiceTimeGain * (newest - service_time_us_);
 }
 
-auto AgentAdmission::Impl::ForgetOldServiceTime(TimePoint now) -> void {
-  if (running_ == 0 && now - learned_at_ >= kServiceTimeHolds) {
+auto AgentAdmission::Impl::ExpireServiceTime(TimePoint now) -> void {
+  if (running_ == 0 &&
+      now - service_time_updated_at_ >= kServiceTimeRetention) {
     service_time_us_ = 0;
   }
 }
@@ -365,9 +371,10 @@
 
 auto AgentAdmission::Impl::AnnounceToAll(TimePoint now) -> void {
   next_announce_ = now + options_.announce_interval;
-  // An entry files an endpoint under the service that it announces. Before the
-  // identity is known it would be filed under none: shown as ready, while
-  // every request is refused for want of an endpoint.
+  // An entry lists an endpoint under the service that it announces. An
+  // announcement without an identity would list it under an empty service name:
+  // its status would be "ready" while every request is rejected with
+  // NO_ENDPOINT.
   if (identity_.instance().empty()) {
     return;
   }
--- a/Source/Routing/agent_admission_impl.h
+++ b/Source/Routing/agent_admission_impl.h
@@ -34,8 +34,8 @@
   auto SetEndpointHealthy(TimePoint now, bool healthy) -> void;
   auto Leave(TimePoint now) -> void;
   auto OnTick(TimePoint now) -> void;
-  // Waiting attempts are looked through with each announcement, and at the
-  // deadline of the first.
+  // The queue is checked for expired attempts with each announcement and at the
+  // earliest deadline in it.
   auto next_wake() const -> TimePoint;
   auto running() const -> uint32_t { return running_; }
   auto queued() const -> uint32_t;
@@ -43,35 +43,36 @@
   auto Count(schema::Reason reason) -> void;
 
  private:
-  auto ReasonToRefuse(TimePoint now,
-                      const std::string& entry,
-                      const schema::Offer& offer) -> schema::Reason;
-  auto OnKnownOffer(TimePoint now,
-                    const std::string& entry,
-                    const Attempt& known,
-                    const schema::Offer& offer) -> void;
-  // The attempt is not known: either it never came, and then it never starts
-  // now, or it was forgotten, and then nothing is vouched for.
+  auto RejectionReason(TimePoint now,
+                       const std::string& entry,
+                       const schema::Offer& offer) -> schema::Reason;
+  auto OnDuplicateOffer(TimePoint now,
+                        const std::string& entry,
+                        const Attempt& known,
+                        const schema::Offer& offer) -> void;
+  // Handles a recall of an attempt that is not in the table. If the attempt
+  // never arrived, it is recorded as not run and is rejected if it arrives
+  // later. If its record may have been removed, the answer is `may_have_run`.
   auto OnUnknownRecall(TimePoint now,
                        const std::string& entry,
                        uint64_t incarnation,
                        uint64_t id) -> void;
-  // An attempt that was called `not_run` may come again, duplicated or late;
-  // were it run then, the verdict would be false. The table keeps it as
-  // finished until its credit has expired.
-  auto Refuse(TimePoint now,
+  // Rejects an attempt. A duplicate or delayed copy of the offer may still
+  // arrive; running it would make the `not_run` verdict false. The table
+  // therefore keeps the attempt as finished until its credit has expired.
+  auto Reject(TimePoint now,
               const std::string& entry,
               uint64_t incarnation,
               uint64_t id,
               schema::Reason reason) -> void;
   auto StartQueued(TimePoint now) -> void;
-  auto DropOverdue(TimePoint now) -> void;
+  auto ExpireQueued(TimePoint now) -> void;
   auto Start(TimePoint now, uint64_t id, Attempt& attempt) -> void;
   auto End(TimePoint now, uint64_t id, schema::Answer answer) -> void;
-  auto Learn(TimePoint now, const EndpointOutcome& outcome) -> void;
-  auto ForgetOldServiceTime(TimePoint now) -> void;
+  auto UpdateServiceTime(TimePoint now, const EndpointOutcome& outcome) -> void;
+  auto ExpireServiceTime(TimePoint now) -> void;
   static auto NotRun(uint64_t id, schema::Reason reason) -> schema::Answer;
-  // No verdict yet: the attempt waits or runs.
+  // An answer without a verdict: the attempt is queued or running.
   static auto InProgress(uint64_t id) -> schema::Answer;
   auto MakeGrant(TimePoint now, const std::string& entry) -> schema::Grant;
   auto Send(TimePoint now, const std::string& entry, schema::Answer answer)
@@ -85,7 +86,8 @@
   WindowPlanner planner_;
   AttemptTable attempts_;
   std::deque<uint64_t> queue_;
-  // When the first of the queue must be given up; may be too early.
+  // Earliest time at which a queued attempt expires. The value may be too
+  // early.
   TimePoint queue_deadline_ = TimePoint::max();
   uint32_t running_ = 0;
   std::set<std::string> entries_;
@@ -94,9 +96,9 @@
   TimePoint next_announce_;
   bool healthy_ = true;
   bool leaving_ = false;
-  // Smoothed; zero while it is not known.
+  // Smoothed service time; zero while unknown.
   double service_time_us_ = 0;
-  TimePoint learned_at_;
+  TimePoint service_time_updated_at_;
   AdmissionActions actions_;
 };
 
--- a/Source/Routing/ascii.cc
+++ b/Source/Routing/ascii.cc
@@ -25,7 +25,7 @@
                      IsEncodableHeader);
 }
 
-auto DropUnencodable(schema::HttpAnswer& answer) -> void {
+auto RemoveUnencodableHeaders(schema::HttpAnswer& answer) -> void {
   auto& headers = *answer.mutable_headers();
   headers.erase(std::remove_if(headers.begin(), headers.end(),
                                [](const schema::HttpHeader& header) {
--- a/Source/Routing/ascii.h
+++ b/Source/Routing/ascii.h
@@ -7,16 +7,17 @@
 
 namespace rhubarbhaven {
 
-// True if every byte is ASCII. The codec refuses to parse a message whose text
-// fields are not UTF-8, so one foreign byte in a header would lose the whole
-// message on the way; HTTP heads are ASCII by their own rules.
+// True if every byte is ASCII. Protobuf does not parse a message whose string
+// fields are not valid UTF-8, so one such byte in a header would lose the whole
+// message. The start line and headers of HTTP messages are ASCII by
+// specification.
 auto IsAscii(std::string_view text) -> bool;
 
-// True if the request can be sent between processes as it is.
+// True if the request can be sent unchanged in a protobuf message.
 auto IsEncodable(const schema::HttpRequest& request) -> bool;
 
-// Takes out headers that cannot be sent between processes.
-auto DropUnencodable(schema::HttpAnswer& answer) -> void;
+// Removes headers that cannot be sent in a protobuf message.
+auto RemoveUnencodableHeaders(schema::HttpAnswer& answer) -> void;
 
 }  // namespace rhubarbhaven
 
--- a/Source/Routing/attempt_table.cc
+++ b/Source/Routing/attempt_table.cc
@@ -26,36 +26,36 @@
   attempt->answer = std::move(answer);
   answer_bytes_ += attempt->answer.http().ByteSizeLong();
   finished_.push_back({now, id});
-  DropAnswers();
+  EvictAnswers();
 }
 
 auto AttemptTable::full() const -> bool {
   return attempts_.size() >= options_.max_attempts;
 }
 
-auto AttemptTable::MayBeForgotten(const std::string& entry,
-                                  uint64_t incarnation,
-                                  uint64_t id) const -> bool {
-  const auto found = forgotten_.find({entry, incarnation});
-  return found != forgotten_.end() && id <= found->second;
+auto AttemptTable::MayHaveBeenRemoved(const std::string& entry,
+                                      uint64_t incarnation,
+                                      uint64_t id) const -> bool {
+  const auto found = highest_removed_.find({entry, incarnation});
+  return found != highest_removed_.end() && id <= found->second;
 }
 
-auto AttemptTable::DropOld(TimePoint now) -> void {
+auto AttemptTable::RemoveExpired(TimePoint now) -> void {
   while (!finished_.empty() &&
          now - finished_.front().at >= options_.retention) {
-    Forget(finished_.front().id);
+    Remove(finished_.front().id);
     finished_.pop_front();
     first_with_answer_ -= std::min<std::size_t>(first_with_answer_, 1);
   }
 }
 
-auto AttemptTable::DropAnswers() -> void {
+auto AttemptTable::EvictAnswers() -> void {
   while (answer_bytes_ > options_.max_answer_bytes &&
          first_with_answer_ < finished_.size()) {
     Attempt& attempt = attempts_[finished_[first_with_answer_].id];
     answer_bytes_ -= attempt.answer.http().ByteSizeLong();
     attempt.answer.clear_http();
-    // It did run, but there is nothing left to give the caller.
+    // The attempt ran, but its answer is no longer available.
     if (attempt.answer.verdict() == schema::ANSWERED) {
       attempt.answer.set_verdict(schema::MAY_HAVE_RUN);
       attempt.answer.set_reason(schema::RECALLED);
@@ -64,7 +64,7 @@
   }
 }
 
-auto AttemptTable::Forget(uint64_t id) -> void {
+auto AttemptTable::Remove(uint64_t id) -> void {
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) {
     return;
@@ -72,7 +72,8 @@
   const Attempt& attempt = found->second;
   answer_bytes_ -= attempt.answer.http().ByteSizeLong();
   if (attempt.answer.verdict() != schema::NOT_RUN) {
-    uint64_t& mark = forgotten_[{attempt.entry, attempt.entry_incarnation}];
+    uint64_t& mark =
+        highest_removed_[{attempt.entry, attempt.entry_incarnation}];
     mark = std::max(mark, id);
   }
   attempts_.erase(found);
--- a/Source/Routing/attempt_table.h
+++ b/Source/Routing/attempt_table.h
@@ -11,16 +11,16 @@
 
 namespace rhubarbhaven {
 
-// What an agent knows of one attempt.
+// The agent's record of one attempt.
 struct Attempt {
   enum class State { kQueued, kRunning, kFinished };
   State state = State::kQueued;
   std::string entry;
   uint64_t entry_incarnation = 0;
   TimePoint deadline;
-  // The offer, until the attempt starts.
+  // The offer; cleared when the attempt starts.
   schema::Offer offer;
-  // The answer, once finished.
+  // The answer; set when the attempt has finished.
   schema::Answer answer;
 };
 
@@ -30,24 +30,26 @@
   std::size_t max_attempts = 50000;
 };
 
-// Every attempt that an agent has seen, kept for a while after its end. Answers
-// are forgotten first when they take too much memory, then whole attempts; of
-// these a mark stays, so that a forgotten attempt is never called `not_run`.
+// The attempts that an agent has received, kept for a retention period after
+// they finish. When the answers use too much memory, the oldest ones are
+// evicted first. For removed attempts, the highest id per entry incarnation is
+// kept, so that a removed attempt is never reported as `not_run`.
 class AttemptTable {
  public:
   explicit AttemptTable(AttemptTableOptions options);
 
   auto Find(uint64_t id) -> Attempt*;
   auto Add(uint64_t id, Attempt attempt) -> Attempt&;
-  // Keeps the answer for a recall.
+  // Marks the attempt as finished and stores its answer for a later recall.
   auto Finish(TimePoint now, uint64_t id, schema::Answer answer) -> void;
   auto full() const -> bool;
-  // True if an attempt that is not in the table may once have been: entries
-  // number their attempts upwards, so it is not above the forgotten ones.
-  auto MayBeForgotten(const std::string& entry,
-                      uint64_t incarnation,
-                      uint64_t id) const -> bool;
-  auto DropOld(TimePoint now) -> void;
+  // True if an attempt that is not in the table may have been removed from it.
+  // Entries assign increasing ids, so this is the case if the id is not above
+  // the highest removed one.
+  auto MayHaveBeenRemoved(const std::string& entry,
+                          uint64_t incarnation,
+                          uint64_t id) const -> bool;
+  auto RemoveExpired(TimePoint now) -> void;
 
  private:
   struct Finished {
@@ -55,18 +57,18 @@
     uint64_t id = 0;
   };
 
-  auto DropAnswers() -> void;
-  auto Forget(uint64_t id) -> void;
+  auto EvictAnswers() -> void;
+  auto Remove(uint64_t id) -> void;
 
   AttemptTableOptions options_;
   std::map<uint64_t, Attempt> attempts_;
-  // In order of their end.
+  // Ordered by finish time.
   std::deque<Finished> finished_;
-  // Finished attempts before this position have no answer any more.
+  // Answers of finished attempts before this index have been evicted.
   std::size_t first_with_answer_ = 0;
   std::size_t answer_bytes_ = 0;
-  // Highest forgotten attempt that ran, of each entry's incarnation.
-  std::map<std::pair<std::string, uint64_t>, uint64_t> forgotten_;
+  // Highest id among the removed attempts that ran, by entry and incarnation.
+  std::map<std::pair<std::string, uint64_t>, uint64_t> highest_removed_;
 };
 
 }  // namespace rhubarbhaven
--- a/Source/Routing/circuit_breaker.cc
+++ b/Source/Routing/circuit_breaker.cc
@@ -8,14 +8,14 @@
 
 using std::chrono::milliseconds;
 
-// The circuit opens on this many failures in a row, or on half of the
-// remembered outcomes.
-constexpr uint32_t kFailuresInRow = 5;
-constexpr uint32_t kInRowMask = (1U << kFailuresInRow) - 1;
-constexpr int kFailuresRemembered = 16;
+// The circuit opens after this many consecutive failures, or when half of the
+// 32 recorded outcomes are failures.
+constexpr uint32_t kConsecutiveFailures = 5;
+constexpr uint32_t kConsecutiveFailuresMask = (1U << kConsecutiveFailures) - 1;
+constexpr int kFailuresInHistory = 16;
 constexpr int kSuccessesToClose = 3;
-constexpr milliseconds kFirstPause{1000};
-constexpr milliseconds kLongestPause{8000};
+constexpr milliseconds kMinProbeDelay{1000};
+constexpr milliseconds kMaxProbeDelay{8000};
 
 }  // namespace
 
@@ -26,8 +26,8 @@
   }
   outcomes_ = (outcomes_ << 1U) | 1U;
   return state_ == State::kClosed &&
-         ((outcomes_ & kInRowMask) == kInRowMask ||
-          std::popcount(outcomes_) >= kFailuresRemembered);
+         ((outcomes_ & kConsecutiveFailuresMask) == kConsecutiveFailuresMask ||
+          std::popcount(outcomes_) >= kFailuresInHistory);
 }
 
 auto CircuitBreaker::OnSuccess() -> void {
@@ -39,18 +39,18 @@
   if (successes_ >= kSuccessesToClose) {
     state_ = State::kClosed;
     outcomes_ = 0;
-    pause_ = milliseconds(0);
+    probe_delay_ = milliseconds(0);
   }
 }
 
 auto CircuitBreaker::Open(TimePoint now) -> void {
   state_ = State::kOpen;
   successes_ = 0;
-  pause_ = std::clamp(2 * pause_, kFirstPause, kLongestPause);
-  probe_at_ = now + pause_;
+  probe_delay_ = std::clamp(2 * probe_delay_, kMinProbeDelay, kMaxProbeDelay);
+  probe_at_ = now + probe_delay_;
 }
 
-auto CircuitBreaker::Forgive() -> void {
+auto CircuitBreaker::ResetFailures() -> void {
   outcomes_ = 0;
 }
 
--- a/Source/Routing/credit_ledger.cc
+++ b/Source/Routing/credit_ledger.cc
@@ -5,8 +5,8 @@
 namespace rhubarbhaven {
 namespace {
 
-// A grant is quoted again for this share of its time to live.
-constexpr int kQuotedShare = 20;
+// A grant is reused until 1/20 of its time to live has passed.
+constexpr int kGrantReuseDivisor = 20;
 
 }  // namespace
 
@@ -14,8 +14,9 @@
 
 auto CreditLedger::Issue(TimePoint now, const std::string& entry) -> uint64_t {
   auto& grants = grants_[entry];
-  DropExpired(now, grants);
-  if (grants.empty() || now - grants.back().issued >= ttl_ / kQuotedShare) {
+  RemoveExpiredGrants(now, grants);
+  if (grants.empty() ||
+      now - grants.back().issued >= ttl_ / kGrantReuseDivisor) {
     grants.push_back({.id = ++last_id_, .issued = now, .used = {}});
   }
   return grants.back().id;
@@ -29,7 +30,7 @@
     return schema::CREDIT_UNKNOWN;
   }
   auto& grants = ledger->second;
-  DropExpired(now, grants);
+  RemoveExpiredGrants(now, grants);
   const auto grant = std::find_if(
       grants.begin(), grants.end(),
       [&](const Grant& one) { return one.id == credit.grant_id(); });
@@ -51,7 +52,8 @@
   return schema::REASON_NONE;
 }
 
-auto CreditLedger::DropExpired(TimePoint now, std::deque<Grant>& grants) const
+auto CreditLedger::RemoveExpiredGrants(TimePoint now,
+                                       std::deque<Grant>& grants) const
     -> void {
   while (!grants.empty() && now - grants.front().issued >= ttl_) {
     grants.pop_front();
--- a/Source/Routing/credit_ledger.h
+++ b/Source/Routing/credit_ledger.h
@@ -11,25 +11,26 @@
 
 namespace rhubarbhaven {
 
-// Credit numbers that one grant may be quoted with. An entry that has used
-// them all waits for the next grant.
+// Number of credits that one grant covers. An entry that has used all of them
+// waits for the next grant.
 inline constexpr uint32_t kCreditNumbersPerGrant = 4096;
 
-// The grants of one agent and which of their credits were used.
+// The grants issued by one agent, and which of their credits have been used.
 //
-// An offer can sit in a socket's queue while the agent is stopped, and be
-// read long after its caller was told that it did not run. One would notice
-// a request that runs after `not_run`. A grant expires on the agent's own
-// clock, so the woken agent finds the offer's credit expired and refuses it,
-// without comparing clocks.
+// An offer can remain in a socket's receive buffer while the agent process is
+// suspended, and be read long after its caller received `not_run`. Running it
+// then would make that verdict false. A grant expires by the agent's own clock,
+// so the resumed agent finds the credit expired and rejects the offer without
+// comparing clocks.
 class CreditLedger {
  public:
   explicit CreditLedger(std::chrono::milliseconds ttl);
 
-  // The id of a grant for the entry. A young grant is quoted again, so that
-  // grants stay few however many answers carry one.
+  // Returns the id of a grant for the entry. A recent grant is reused, so that
+  // the number of grants stays small however many answers carry one.
   auto Issue(TimePoint now, const std::string& entry) -> uint64_t;
-  // REASON_NONE marks the credit as used; else why it is refused.
+  // Marks the credit as used and returns REASON_NONE, or returns the reason for
+  // which it is rejected.
   auto Redeem(TimePoint now,
               const std::string& entry,
               const schema::Credit& credit) -> schema::Reason;
@@ -41,7 +42,8 @@
     std::vector<bool> used;
   };
 
-  auto DropExpired(TimePoint now, std::deque<Grant>& grants) const -> void;
+  auto RemoveExpiredGrants(TimePoint now, std::deque<Grant>& grants) const
+      -> void;
 
   std::chrono::milliseconds ttl_;
   uint64_t last_id_ = 0;
--- a/Source/Routing/endpoint.cc
+++ b/Source/Routing/endpoint.cc
@@ -7,25 +7,26 @@
 
 using std::chrono::microseconds;
 
-// An endpoint slower than this multiple of the median gets one request at a
+// An endpoint slower than this multiple of the median receives one request at a
 // time.
 constexpr double kSlowFactor = 3;
-constexpr std::size_t kFewestToCompare = 3;
-// Fewer attempts say too little of how long the next will take.
-constexpr uint64_t kFewestSamples = 16;
-// Mean deviations above the mean within which nearly all attempts end.
-constexpr double kDeviations = 4;
+constexpr std::size_t kMinMembersToCompare = 3;
+// With fewer attempts, the estimate of the attempt time is too uncertain.
+constexpr uint64_t kMinAttemptSamples = 16;
+// Number of mean deviations above the mean within which nearly all attempts
+// finish.
+constexpr double kAttemptTimeDeviations = 4;
 
 }  // namespace
 
 auto IsLive(const Endpoint& endpoint) -> bool {
-  return !endpoint.silent && !endpoint.leaving && endpoint.healthy &&
+  return !endpoint.unresponsive && !endpoint.leaving && endpoint.healthy &&
          !endpoint.unreachable;
 }
 
 auto IsSlow(const Endpoint& endpoint) -> bool {
   const EndpointPool& pool = *endpoint.pool;
-  return pool.members.size() >= kFewestToCompare &&
+  return pool.members.size() >= kMinMembersToCompare &&
          pool.median_service_us > 0 &&
          static_cast<double>(endpoint.grant.service_time_us()) >
              kSlowFactor * pool.median_service_us;
@@ -44,7 +45,7 @@
                           : endpoint.grant.credits();
 }
 
-auto ExpectedUs(const Endpoint& endpoint) -> double {
+auto ExpectedLatencyUs(const Endpoint& endpoint) -> double {
   const auto& grant = endpoint.grant;
   const uint64_t reported =
       uint64_t{grant.running()} + grant.queued() + endpoint.sent_since_report;
@@ -56,7 +57,7 @@
 }
 
 auto StateName(const Endpoint& endpoint) -> std::string {
-  if (endpoint.silent) {
+  if (endpoint.unresponsive) {
     return "silent";
   }
   if (endpoint.leaving) {
@@ -85,15 +86,16 @@
   }
   const double rounds =
       static_cast<double>(ahead) / static_cast<double>(pool.window_total);
-  return microseconds(static_cast<int64_t>(pool.attempt_us * rounds));
+  return microseconds(static_cast<int64_t>(pool.mean_attempt_us * rounds));
 }
 
-auto AttemptTime(const EndpointPool& pool) -> microseconds {
-  if (pool.samples < kFewestSamples) {
+auto AttemptTimeBound(const EndpointPool& pool) -> microseconds {
+  if (pool.attempt_samples < kMinAttemptSamples) {
     return microseconds(0);
   }
   return microseconds(
-      static_cast<int64_t>(pool.attempt_us + kDeviations * pool.deviation_us));
+      static_cast<int64_t>(pool.mean_attempt_us +
+                           kAttemptTimeDeviations * pool.attempt_deviation_us));
 }
 
 }  // namespace rhubarbhaven
--- a/Source/Routing/endpoint.h
+++ b/Source/Routing/endpoint.h
@@ -14,37 +14,38 @@
 
 struct EndpointPool;
 
-// One endpoint, as its agent announced it.
+// One endpoint, as announced by its agent.
 struct Endpoint {
   std::string agent;
   uint64_t incarnation = 0;
-  // Earlier incarnations and the last announcement of each, so that late ones
-  // are dropped.
-  std::deque<std::pair<uint64_t, uint64_t>> former;
+  // Earlier incarnations, each with the sequence number of its last
+  // announcement, so that delayed announcements are ignored.
+  std::deque<std::pair<uint64_t, uint64_t>> previous_incarnations;
   uint64_t announce_sequence = 0;
   std::string failure_domain;
   uint32_t slots = 1;
   bool leaving = false;
   bool healthy = true;
-  // It announced nothing for the announce timeout.
-  bool silent = false;
-  // The link could not send to it since its last announcement.
+  // True if it has announced nothing for the announce timeout.
+  bool unresponsive = false;
+  // True if the link failed to send to it since its last announcement.
   bool unreachable = false;
-  // Its latest announcement.
-  TimePoint heard;
+  // Time of its latest announcement.
+  TimePoint last_announced_at;
   schema::Grant grant;
   uint32_t next_credit = 0;
-  // Attempts of this entry that have no answer yet.
+  // Attempts of this entry that have not been answered.
   uint32_t unanswered = 0;
   uint32_t sent_since_report = 0;
   TimePoint last_sent;
   CircuitBreaker breaker;
   EndpointPool* pool = nullptr;
 
-  // What the pool has counted of it; kept by EndpointTable.
+  // This endpoint's contribution to the totals of its pool; maintained by
+  // EndpointTable.
   bool counted_live = false;
   uint32_t counted_window = 0;
-  std::ptrdiff_t ready_position = -1;
+  std::ptrdiff_t ready_index = -1;
 };
 
 // The endpoints of one service.
@@ -52,40 +53,42 @@
   std::string partner;
   std::string service;
   std::vector<Endpoint*> members;
-  // Those that can be sent a request now.
+  // Members that can be sent a request now.
   std::vector<Endpoint*> ready;
   std::size_t live = 0;
   // Sum of the windows of the live members.
   uint64_t window_total = 0;
-  // Median service time of the members; smoothed time from sending an attempt
-  // to its answer, and its smoothed deviation. Zero while unknown.
+  // Median service time of the members, mean time from sending an attempt to
+  // receiving its answer, and mean absolute deviation of that time. The means
+  // are smoothed; a value is zero while unknown.
   double median_service_us = 0;
-  double attempt_us = 0;
-  // Attempts in these.
-  uint64_t samples = 0;
-  double deviation_us = 0;
-  TimePoint median_at;
-  TimePoint idle_probe_at;
+  double mean_attempt_us = 0;
+  // Number of attempts in the smoothed means.
+  uint64_t attempt_samples = 0;
+  double attempt_deviation_us = 0;
+  TimePoint median_updated_at;
+  TimePoint next_idle_probe_at;
 };
 
-// True if it may get new work: it announces itself, is healthy, not leaving,
-// and can be sent to.
+// True if the endpoint may receive new work: it announces itself, is healthy
+// and reachable, and is not leaving.
 auto IsLive(const Endpoint& endpoint) -> bool;
-// True if its service time is far above that of its pool.
+// True if its service time is far above the median of its pool.
 auto IsSlow(const Endpoint& endpoint) -> bool;
-// Attempts that may be unanswered at a time.
+// Maximum number of unanswered attempts at a time.
 auto Window(const Endpoint& endpoint) -> uint32_t;
-// Expected time of a request there, in microseconds.
-auto ExpectedUs(const Endpoint& endpoint) -> double;
-// For operators: "ready", "leaving", "silent" and so on.
+// Expected latency of a request at the endpoint, in microseconds.
+auto ExpectedLatencyUs(const Endpoint& endpoint) -> double;
+// State for operators, such as "ready", "leaving" or "silent".
 auto StateName(const Endpoint& endpoint) -> std::string;
 
-// How long a request that waits behind `ahead` others of this entry would
-// wait until it is sent.
+// Expected wait of a request that has `ahead` requests of this entry in front
+// of it.
 auto ExpectedWait(const EndpointPool& pool, std::size_t ahead)
     -> std::chrono::microseconds;
-// Within which time nearly every attempt is answered; zero while too few were.
-auto AttemptTime(const EndpointPool& pool) -> std::chrono::microseconds;
+// Time within which nearly every attempt is answered; zero while there are too
+// few samples.
+auto AttemptTimeBound(const EndpointPool& pool) -> std::chrono::microseconds;
 
 }  // namespace rhubarbhaven
 
--- a/Source/Routing/endpoint_table.cc
+++ b/Source/Routing/endpoint_table.cc
@@ -10,22 +10,23 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-constexpr std::size_t kMostEndpoints = 20000;
-constexpr std::size_t kFormerIncarnations = 16;
-// A silent endpoint with nothing outstanding is forgotten after this.
-constexpr std::chrono::seconds kForgetAfter{60};
-// An endpoint that was passed over this long gets a request. Without it, one
-// that has recovered would keep its old service time, since only its answers
-// bring news; one would notice an idle endpoint beside busy ones.
+constexpr std::size_t kMaxEndpoints = 20000;
+constexpr std::size_t kMaxPreviousIncarnations = 16;
+// An unresponsive endpoint without unanswered attempts is removed after this
+// time.
+constexpr std::chrono::seconds kRemovalDelay{60};
+// An endpoint that has received no request for this long is sent one. Only
+// answers update its service time, so an endpoint that has recovered would
+// otherwise keep its old service time and stay idle while others are busy.
 constexpr milliseconds kIdleProbeInterval{1000};
-constexpr milliseconds kShortestProbeGap{20};
+constexpr milliseconds kMinIdleProbeInterval{20};
 constexpr milliseconds kMedianInterval{100};
-// Endpoints whose expected times differ by less than this are equal, and the
-// own failure domain decides.
-constexpr double kEqualShare = 0.1;
+// Endpoints whose expected latencies differ by less than this share are treated
+// as equal; the local failure domain is then preferred.
+constexpr double kEqualLatencyTolerance = 0.1;
 constexpr double kAttemptTimeGain = 0.05;
-// An endpoint is looked at no more often than this.
-constexpr milliseconds kShortestTimer{10};
+// Minimum time between two checks of an endpoint.
+constexpr milliseconds kMinTimerDelay{10};
 
 auto Contains(const std::vector<std::string>& tried, const Endpoint& endpoint)
     -> bool {
@@ -52,7 +53,7 @@
   AnnounceResult result = AnnounceResult::kKnown;
   auto found = endpoints_.find(agent);
   if (found == endpoints_.end()) {
-    if (endpoints_.size() >= kMostEndpoints) {
+    if (endpoints_.size() >= kMaxEndpoints) {
       return AnnounceResult::kFull;
     }
     found = endpoints_.emplace(agent, std::make_unique<Endpoint>()).first;
@@ -62,12 +63,13 @@
   }
   Endpoint& endpoint = *found->second;
   if (endpoint.incarnation != incarnation) {
-    const auto& former = endpoint.former;
+    const auto& previous_incarnations = endpoint.previous_incarnations;
     const bool late =
-        std::any_of(former.begin(), former.end(), [&](const auto& earlier) {
-          return earlier.first == incarnation &&
-                 announce.sequence() <= earlier.second;
-        });
+        std::any_of(previous_incarnations.begin(), previous_incarnations.end(),
+                    [&](const auto& earlier) {
+                      return earlier.first == incarnation &&
+                             announce.sequence() <= earlier.second;
+                    });
     if (late) {
       return AnnounceResult::kStale;
     }
@@ -78,14 +80,14 @@
     return AnnounceResult::kStale;
   }
   endpoint.announce_sequence = announce.sequence();
-  endpoint.heard = now;
+  endpoint.last_announced_at = now;
   endpoint.failure_domain = announce.failure_domain();
   endpoint.slots = std::max(1U, announce.slots());
   endpoint.leaving = announce.leaving();
   endpoint.healthy = announce.endpoint_healthy();
-  endpoint.silent = false;
+  endpoint.unresponsive = false;
   endpoint.unreachable = false;
-  Join(endpoint, {announce.partner(), announce.service()});
+  JoinPool(endpoint, {announce.partner(), announce.service()});
   OnGrant(now, endpoint, announce.grant());
   SetTimer(now, endpoint);
   return result;
@@ -94,7 +96,7 @@
 auto EndpointTable::OnGrant(TimePoint now,
                             Endpoint& endpoint,
                             const schema::Grant& grant) -> void {
-  // Messages may overtake each other; an older grant never replaces a newer.
+  // Messages may be reordered; an older grant never replaces a newer one.
   if (grant.id() == 0 || grant.id() >= endpoint.grant.id()) {
     if (grant.id() != endpoint.grant.id()) {
       endpoint.next_credit = 0;
@@ -119,7 +121,7 @@
   return credit;
 }
 
-auto EndpointTable::OnClosed(TimePoint now, Endpoint& endpoint) -> void {
+auto EndpointTable::OnAttemptClosed(TimePoint now, Endpoint& endpoint) -> void {
   endpoint.unanswered -= std::min(endpoint.unanswered, 1U);
   Refresh(now, endpoint);
 }
@@ -130,14 +132,16 @@
   const double took_us =
       std::chrono::duration<double, std::micro>(took).count();
   EndpointPool& pool = *endpoint.pool;
-  // A plain mean at first, so that one slow first attempt is soon outweighed.
-  ++pool.samples;
+  // The first samples form a plain mean, so that a slow first attempt is soon
+  // outweighed.
+  ++pool.attempt_samples;
   const double gain =
-      std::max(kAttemptTimeGain, 1 / static_cast<double>(pool.samples));
-  const double error = took_us - pool.attempt_us;
-  pool.attempt_us += gain * error;
-  if (pool.samples > 1) {
-    pool.deviation_us += gain * (std::abs(error) - pool.deviation_us);
+      std::max(kAttemptTimeGain, 1 / static_cast<double>(pool.attempt_samples));
+  const double error = took_us - pool.mean_attempt_us;
+  pool.mean_attempt_us += gain * error;
+  if (pool.attempt_samples > 1) {
+    pool.attempt_deviation_us +=
+        gain * (std::abs(error) - pool.attempt_deviation_us);
   }
   Refresh(now, endpoint);
 }
@@ -165,17 +169,18 @@
   Refresh(now, endpoint);
 }
 
-// A service that fails everywhere is no reason to cut off all its endpoints;
-// at most half of a pool is set aside.
+// If a service fails on all endpoints, opening every circuit would not help. At
+// most half of the live members of a pool may have a circuit that is not
+// closed.
 auto EndpointTable::OpenCircuit(TimePoint now, Endpoint& endpoint) -> void {
   const auto& members = endpoint.pool->members;
-  const auto set_aside =
+  const auto not_closed =
       std::count_if(members.begin(), members.end(), [](const Endpoint* member) {
         return IsLive(*member) &&
                member->breaker.state() != CircuitBreaker::State::kClosed;
       });
-  if (2 * (static_cast<std::size_t>(set_aside) + 1) > endpoint.pool->live) {
-    endpoint.breaker.Forgive();
+  if (2 * (static_cast<std::size_t>(not_closed) + 1) > endpoint.pool->live) {
+    endpoint.breaker.ResetFailures();
     return;
   }
   endpoint.breaker.Open(now);
@@ -187,25 +192,26 @@
 }
 
 auto EndpointTable::OnTick(TimePoint now) -> std::vector<std::string> {
-  std::vector<std::string> fell_silent;
+  std::vector<std::string> newly_unresponsive;
   while (const auto agent = timers_.PopDue(now)) {
     const auto found = endpoints_.find(*agent);
     Endpoint& endpoint = *found->second;
     endpoint.breaker.Update(now);
-    if (!endpoint.silent && now - endpoint.heard >= announce_timeout_) {
-      endpoint.silent = true;
-      fell_silent.push_back(*agent);
+    if (!endpoint.unresponsive &&
+        now - endpoint.last_announced_at >= announce_timeout_) {
+      endpoint.unresponsive = true;
+      newly_unresponsive.push_back(*agent);
     }
     Refresh(now, endpoint);
-    if (endpoint.silent && endpoint.unanswered == 0 &&
-        now - endpoint.heard >= kForgetAfter) {
+    if (endpoint.unresponsive && endpoint.unanswered == 0 &&
+        now - endpoint.last_announced_at >= kRemovalDelay) {
       LeavePool(endpoint);
       endpoints_.erase(found);
       continue;
     }
     SetTimer(now, endpoint);
   }
-  return fell_silent;
+  return newly_unresponsive;
 }
 
 auto EndpointTable::Find(const std::string& agent) -> Endpoint* {
@@ -256,10 +262,10 @@
 }
 
 auto EndpointTable::Restart(Endpoint& endpoint, uint64_t incarnation) -> void {
-  endpoint.former.emplace_back(endpoint.incarnation,
-                               endpoint.announce_sequence);
-  if (endpoint.former.size() > kFormerIncarnations) {
-    endpoint.former.pop_front();
+  endpoint.previous_incarnations.emplace_back(endpoint.incarnation,
+                                              endpoint.announce_sequence);
+  if (endpoint.previous_incarnations.size() > kMaxPreviousIncarnations) {
+    endpoint.previous_incarnations.pop_front();
   }
   endpoint.incarnation = incarnation;
   endpoint.announce_sequence = 0;
@@ -269,7 +275,7 @@
   endpoint.breaker = CircuitBreaker();
 }
 
-auto EndpointTable::Join(Endpoint& endpoint, const PoolKey& key) -> void {
+auto EndpointTable::JoinPool(Endpoint& endpoint, const PoolKey& key) -> void {
   auto& pool = pools_[key];
   if (pool == nullptr) {
     pool = std::make_unique<EndpointPool>();
@@ -318,26 +324,26 @@
 
 auto EndpointTable::SetReady(Endpoint& endpoint, bool ready) -> void {
   auto& all = endpoint.pool->ready;
-  if (ready == (endpoint.ready_position >= 0)) {
+  if (ready == (endpoint.ready_index >= 0)) {
     return;
   }
   if (ready) {
-    endpoint.ready_position = static_cast<std::ptrdiff_t>(all.size());
+    endpoint.ready_index = static_cast<std::ptrdiff_t>(all.size());
     all.push_back(&endpoint);
     return;
   }
   Endpoint* last = all.back();
-  all[static_cast<std::size_t>(endpoint.ready_position)] = last;
-  last->ready_position = endpoint.ready_position;
+  all[static_cast<std::size_t>(endpoint.ready_index)] = last;
+  last->ready_index = endpoint.ready_index;
   all.pop_back();
-  endpoint.ready_position = -1;
+  endpoint.ready_index = -1;
 }
 
 auto EndpointTable::UpdateMedian(TimePoint now, EndpointPool& pool) -> void {
-  if (now - pool.median_at < kMedianInterval) {
+  if (now - pool.median_updated_at < kMedianInterval) {
     return;
   }
-  pool.median_at = now;
+  pool.median_updated_at = now;
   std::vector<uint64_t> times;
   times.reserve(pool.members.size());
   for (const Endpoint* member : pool.members) {
@@ -356,10 +362,10 @@
 
 auto EndpointTable::IsBetter(const Endpoint& left, const Endpoint& right) const
     -> bool {
-  const double left_us = ExpectedUs(left);
-  const double right_us = ExpectedUs(right);
-  const bool equal =
-      std::abs(left_us - right_us) <= kEqualShare * std::max(left_us, right_us);
+  const double left_us = ExpectedLatencyUs(left);
+  const double right_us = ExpectedLatencyUs(right);
+  const bool equal = std::abs(left_us - right_us) <=
+                     kEqualLatencyTolerance * std::max(left_us, right_us);
   if (equal && left.failure_domain != right.failure_domain) {
     return left.failure_domain == failure_domain_;
   }
@@ -370,12 +376,12 @@
                                     EndpointPool& pool,
                                     const std::vector<std::string>& tried)
     -> Endpoint* {
-  if (now < pool.idle_probe_at) {
+  if (now < pool.next_idle_probe_at) {
     return nullptr;
   }
-  pool.idle_probe_at =
+  pool.next_idle_probe_at =
       now +
-      std::max(kShortestProbeGap,
+      std::max(kMinIdleProbeInterval,
                kIdleProbeInterval / static_cast<int64_t>(pool.members.size()));
   const auto found =
       std::find_if(pool.ready.begin(), pool.ready.end(), [&](Endpoint* one) {
@@ -386,12 +392,13 @@
 }
 
 auto EndpointTable::SetTimer(TimePoint now, const Endpoint& endpoint) -> void {
-  TimePoint at = endpoint.heard +
-                 (endpoint.silent ? Duration(kForgetAfter) : announce_timeout_);
+  TimePoint at =
+      endpoint.last_announced_at +
+      (endpoint.unresponsive ? Duration(kRemovalDelay) : announce_timeout_);
   if (endpoint.breaker.state() == CircuitBreaker::State::kOpen) {
     at = std::min(at, endpoint.breaker.probe_at());
   }
-  timers_.Set(endpoint.agent, std::max(at, now + kShortestTimer));
+  timers_.Set(endpoint.agent, std::max(at, now + kMinTimerDelay));
 }
 
 }  // namespace rhubarbhaven
--- a/Source/Routing/endpoint_table.h
+++ b/Source/Routing/endpoint_table.h
@@ -16,7 +16,7 @@
 
 using PoolKey = std::pair<std::string, std::string>;
 
-// Which endpoints there are, in what state, and which of them takes the next
+// Tracks the endpoints and their states, and selects the endpoint for each
 // request.
 class EndpointTable {
  public:
@@ -33,21 +33,23 @@
   auto OnGrant(TimePoint now, Endpoint& endpoint, const schema::Grant& grant)
       -> void;
   auto OnSent(TimePoint now, Endpoint& endpoint) -> schema::Credit;
-  // An attempt was answered or given up.
-  auto OnClosed(TimePoint now, Endpoint& endpoint) -> void;
+  // An attempt was answered or is no longer waited for.
+  auto OnAttemptClosed(TimePoint now, Endpoint& endpoint) -> void;
   auto OnSuccess(TimePoint now, Endpoint& endpoint, Duration took) -> void;
   auto OnFailure(TimePoint now, Endpoint& endpoint) -> void;
-  // Messages to it vanish although it announces itself: probe the path.
+  // Messages to the endpoint are lost although it announces itself. Opens its
+  // circuit, within the limit for the pool, so that only probes are sent.
   auto OnPathLost(TimePoint now, Endpoint& endpoint) -> void;
   auto OnUnsent(TimePoint now, Endpoint& endpoint) -> void;
-  // Endpoints that have fallen silent, by agent.
+  // Returns the agents whose endpoints have become unresponsive.
   auto OnTick(TimePoint now) -> std::vector<std::string>;
   auto next_wake() const -> TimePoint { return timers_.next(); }
 
   auto Find(const std::string& agent) -> Endpoint*;
   auto FindPool(const PoolKey& key) -> EndpointPool*;
   auto FindPool(const PoolKey& key) const -> const EndpointPool*;
-  // The endpoint for the next request, not among `tried`; null for none.
+  // Selects the endpoint for the next request, excluding those in `tried`;
+  // returns null if there is none.
   auto Choose(TimePoint now,
               EndpointPool& pool,
               const std::vector<std::string>& tried) -> Endpoint*;
@@ -58,9 +60,9 @@
 
  private:
   auto Restart(Endpoint& endpoint, uint64_t incarnation) -> void;
-  auto Join(Endpoint& endpoint, const PoolKey& key) -> void;
+  auto JoinPool(Endpoint& endpoint, const PoolKey& key) -> void;
   auto LeavePool(Endpoint& endpoint) -> void;
-  // Brings the pool's counts in line with the endpoint's state.
+  // Updates the totals of the pool after a change of the endpoint's state.
   auto Refresh(TimePoint now, Endpoint& endpoint) -> void;
   auto SetReady(Endpoint& endpoint, bool ready) -> void;
   auto UpdateMedian(TimePoint now, EndpointPool& pool) -> void;
--- a/Source/Routing/entry_attempts.cc
+++ b/Source/Routing/entry_attempts.cc
@@ -7,18 +7,19 @@
 
 using std::chrono::milliseconds;
 
-// An attempt is asked after when it took longer than nearly all do.
-constexpr milliseconds kShortestOverdue{250};
-constexpr milliseconds kFirstRecallPause{100};
-constexpr milliseconds kLongestRecallPause{1000};
-// With this many recalls sent and none answered before the last, a repeatable
-// request is tried elsewhere, and an agent that announces itself all the same
-// is taken not to get what is sent to it.
+// Minimum time before the first recall of an attempt. Beyond this, a recall is
+// sent when an attempt takes longer than nearly all others do.
+constexpr milliseconds kMinOverdueDelay{250};
+constexpr milliseconds kInitialRecallInterval{100};
+constexpr milliseconds kMaxRecallInterval{1000};
+// After this many recalls without an answer, a repeatable request is sent to
+// another endpoint, and messages to the agent are assumed to be lost even if it
+// announces itself.
 constexpr int kRecallsForLostPath = 2;
-// After its deadline, how long an attempt's answer is waited for so that it
-// can be told from an unknown one and its place at the agent is known free.
-constexpr milliseconds kLateAnswerTime{1000};
-constexpr std::chrono::seconds kLateOutcomeTime{30};
+// How long after its deadline an attempt waits for an answer, so that the
+// answer can be matched and its slot at the agent is known to be free.
+constexpr milliseconds kLateAnswerTimeout{1000};
+constexpr std::chrono::seconds kLateOutcomeTimeout{30};
 constexpr uint32_t kFirstServerError = 500;
 constexpr uint32_t kLowestStatus = 100;
 constexpr uint32_t kHighestStatus = 599;
@@ -50,16 +51,17 @@
                                    const schema::Announce& announce) -> void {
   switch (table_.OnAnnounce(now, agent, incarnation, announce)) {
     case EndpointTable::AnnounceResult::kStale:
-      Drop(schema::MESSAGE_LATE);
+      CountDropped(schema::MESSAGE_LATE);
       return;
     case EndpointTable::AnnounceResult::kFull:
-      Drop(schema::OVERLOADED);
+      CountDropped(schema::OVERLOADED);
       return;
     case EndpointTable::AnnounceResult::kRestarted:
       OnAgentRestarted(now, agent);
       break;
     case EndpointTable::AnnounceResult::kKnown:
-      // The path is back: ask again at once for what went unanswered.
+      // The agent is reachable again, so recalls that went unanswered are
+      // resent at once.
       for (const uint64_t id : AttemptsAt(agent)) {
         OpenAttempt& attempt = attempts_.at(id);
         if (attempt.unanswered_recalls > 0) {
@@ -78,7 +80,7 @@
                                  uint64_t incarnation,
                                  const schema::Answer& answer) -> void {
   if (!IsWellFormed(answer)) {
-    Drop(schema::MESSAGE_MALFORMED);
+    CountDropped(schema::MESSAGE_MALFORMED);
     return;
   }
   Endpoint* endpoint = table_.Find(agent);
@@ -86,16 +88,17 @@
     table_.OnGrant(now, *endpoint, answer.grant());
   }
   const auto found = attempts_.find(answer.attempt_id());
-  // An answer is matched by attempt, agent and incarnation. One that is late,
-  // repeated or meant for somebody else would reach the wrong caller.
+  // An answer is matched by attempt, agent and incarnation. Otherwise one that
+  // is late, duplicated or addressed to another process would be returned to
+  // the wrong caller.
   if (found == attempts_.end() || found->second.agent != agent ||
       found->second.agent_incarnation != incarnation) {
-    Drop(schema::MESSAGE_LATE);
+    CountDropped(schema::MESSAGE_LATE);
   } else if (answer.verdict() == schema::VERDICT_UNSPECIFIED) {
     found->second.unanswered_recalls = 0;
   } else {
-    if (Endpoint* judged = EndpointOf(found->second)) {
-      JudgeEndpoint(now, *judged, found->second, answer);
+    if (Endpoint* answering_endpoint = FindEndpoint(found->second)) {
+      RecordEndpointResult(now, *answering_endpoint, found->second, answer);
     }
     EndAttempt(now, answer.attempt_id(),
                {.verdict = answer.verdict(),
@@ -114,10 +117,10 @@
   if (found == attempts_.end() || found->second.agent != agent) {
     return;
   }
-  if (Endpoint* endpoint = EndpointOf(found->second)) {
+  if (Endpoint* endpoint = FindEndpoint(found->second)) {
     table_.OnUnsent(now, *endpoint);
   }
-  // An offer is sent once, and this one went to no connection.
+  // Each offer is sent only once, and no connection accepted this one.
   EndAttempt(now, offer.attempt_id(),
              {.verdict = schema::NOT_RUN,
               .reason = schema::AGENT_UNREACHABLE,
@@ -129,11 +132,11 @@
   Request& request = requests_.at(id);
   const auto remaining =
       std::chrono::floor<milliseconds>(request.caller.deadline - now);
-  const Duration usual = AttemptTime(*endpoint.pool);
+  const Duration time_bound = AttemptTimeBound(*endpoint.pool);
   const bool too_late =
-      remaining < usual && !PassesUnchecked(now, request.pool);
+      remaining < time_bound && !AllowUnchecked(now, request.pool);
   if (too_late || remaining.count() <= 0) {
-    RefuseWaiting(now, id, schema::DEADLINE_UNREACHABLE);
+    RejectWaiting(now, id, schema::DEADLINE_UNREACHABLE);
     return;
   }
   StopWaiting(id, request);
@@ -145,16 +148,16 @@
   ++request.attempts;
   request.tried.push_back(endpoint.agent);
   request.open_attempts.insert(attempt_id);
-  const Duration late =
-      request.owns_run ? Duration(kLateOutcomeTime) : Duration(kLateAnswerTime);
+  const Duration late = request.owns_run ? Duration(kLateOutcomeTimeout)
+                                         : Duration(kLateAnswerTimeout);
   attempts_[attempt_id] = {.request = id,
                            .agent = endpoint.agent,
                            .agent_incarnation = endpoint.incarnation,
                            .sent = now,
                            .close_at = request.caller.deadline + late,
-                           .recall_pause = kFirstRecallPause};
+                           .recall_interval = kInitialRecallInterval};
   by_agent_[endpoint.agent].insert(attempt_id);
-  const Duration overdue = std::max<Duration>(kShortestOverdue, usual);
+  const Duration overdue = std::max<Duration>(kMinOverdueDelay, time_bound);
   timers_.Set({TimerKind::kAttempt, attempt_id}, now + overdue);
 
   SendToAgent send{.agent = endpoint.agent, .message = {}};
@@ -162,7 +165,7 @@
   offer.set_attempt_id(attempt_id);
   offer.set_agent_incarnation(endpoint.incarnation);
   offer.set_remaining_ms(static_cast<uint32_t>(remaining.count()));
-  offer.set_repeatable(request.once_key.empty());
+  offer.set_repeatable(request.idempotency_key.empty());
   offer.set_request_id(request.caller.request_id);
   offer.set_partner(request.caller.partner);
   *offer.mutable_request() = request.caller.http;
@@ -199,18 +202,18 @@
     return;
   }
   timers_.Set({TimerKind::kAttempt, attempt_id},
-              std::min(attempt.close_at, now + attempt.recall_pause));
-  attempt.recall_pause =
-      std::min(kLongestRecallPause, 2 * attempt.recall_pause);
+              std::min(attempt.close_at, now + attempt.recall_interval));
+  attempt.recall_interval =
+      std::min(kMaxRecallInterval, 2 * attempt.recall_interval);
   SendRecall(attempt_id, attempt);
   ++attempt.unanswered_recalls;
   if (attempt.unanswered_recalls < kRecallsForLostPath) {
     return;
   }
-  if (Endpoint* endpoint = EndpointOf(attempt)) {
+  if (Endpoint* endpoint = FindEndpoint(attempt)) {
     table_.OnPathLost(now, *endpoint);
   }
-  TryElsewhere(now, attempt, schema::ATTEMPT_TIMEOUT);
+  RetryElsewhere(now, attempt, schema::ATTEMPT_TIMEOUT);
 }
 
 auto EntryRouter::Impl::EndAttempt(TimePoint now,
@@ -225,14 +228,14 @@
   if (at_agent->second.empty()) {
     by_agent_.erase(at_agent);
   }
-  if (Endpoint* endpoint = EndpointOf(attempt)) {
-    table_.OnClosed(now, *endpoint);
+  if (Endpoint* endpoint = FindEndpoint(attempt)) {
+    table_.OnAttemptClosed(now, *endpoint);
   }
   const auto request = requests_.find(attempt.request);
   if (request == requests_.end()) {
-    // The caller has its reply already.
+    // The caller already has its reply.
     if (outcome.verdict == schema::ANSWERED) {
-      Drop(schema::MESSAGE_LATE);
+      CountDropped(schema::MESSAGE_LATE);
     }
     return;
   }
@@ -257,7 +260,7 @@
     Retry(now, id, outcome.reason);
     return;
   }
-  // What one attempt vouches for does not cover the others.
+  // The `not_run` verdict of one attempt does not apply to the others.
   if (request.may_have_run) {
     outcome.verdict = schema::MAY_HAVE_RUN;
   }
@@ -267,10 +270,11 @@
 auto EntryRouter::Impl::CanRetry(TimePoint now,
                                  const Request& request,
                                  schema::Verdict verdict) -> bool {
-  const bool is_safe = verdict == schema::NOT_RUN || request.once_key.empty();
+  const bool is_safe =
+      verdict == schema::NOT_RUN || request.idempotency_key.empty();
   if (!is_safe || request.attempts == 0 ||
       request.attempts >= options_.max_attempts ||
-      now >= request.caller.deadline || !HasUntried(request)) {
+      now >= request.caller.deadline || !HasUntriedEndpoint(request)) {
     return false;
   }
   if (!budget_.Take()) {
@@ -280,7 +284,7 @@
   return true;
 }
 
-auto EntryRouter::Impl::HasUntried(const Request& request) -> bool {
+auto EntryRouter::Impl::HasUntriedEndpoint(const Request& request) -> bool {
   const EndpointPool* pool = table_.FindPool(request.pool);
   if (pool == nullptr) {
     return false;
@@ -296,24 +300,24 @@
 auto EntryRouter::Impl::Retry(TimePoint now, uint64_t id, schema::Reason reason)
     -> void {
   Count("retried", reason);
-  Wait(now, id, requests_.at(id));
+  StartWaiting(now, id, requests_.at(id));
 }
 
-// Nothing was heard of the attempt. A repeatable request is sent to another
-// endpoint too, and the first whole answer is taken.
-auto EntryRouter::Impl::TryElsewhere(TimePoint now,
-                                     OpenAttempt& attempt,
-                                     schema::Reason reason) -> void {
+// Sends a repeatable request whose attempt went unanswered to another endpoint
+// as well. The first complete answer is used.
+auto EntryRouter::Impl::RetryElsewhere(TimePoint now,
+                                       OpenAttempt& attempt,
+                                       schema::Reason reason) -> void {
   const auto found = requests_.find(attempt.request);
-  if (attempt.given_up || found == requests_.end()) {
+  if (attempt.retried_elsewhere || found == requests_.end()) {
     return;
   }
   Request& request = found->second;
-  if (!request.once_key.empty() || request.stage != Stage::kSent ||
+  if (!request.idempotency_key.empty() || request.stage != Stage::kSent ||
       !CanRetry(now, request, schema::MAY_HAVE_RUN)) {
     return;
   }
-  attempt.given_up = true;
+  attempt.retried_elsewhere = true;
   Retry(now, attempt.request, reason);
 }
 
@@ -326,8 +330,8 @@
   return {found->second.begin(), found->second.end()};
 }
 
-auto EntryRouter::Impl::OnAgentSilent(TimePoint now, const std::string& agent)
-    -> void {
+auto EntryRouter::Impl::OnAgentUnresponsive(TimePoint now,
+                                            const std::string& agent) -> void {
   Count("agent_silent", schema::AGENT_SILENT);
   for (const uint64_t id : AttemptsAt(agent)) {
     const auto found = attempts_.find(id);
@@ -337,7 +341,7 @@
     }
     ++found->second.unanswered_recalls;
     SendRecall(id, found->second);
-    TryElsewhere(now, found->second, schema::AGENT_SILENT);
+    RetryElsewhere(now, found->second, schema::AGENT_SILENT);
   }
 }
 
@@ -345,10 +349,11 @@
                                          const std::string& agent) -> void {
   for (const uint64_t id : AttemptsAt(agent)) {
     const auto found = attempts_.find(id);
-    if (found == attempts_.end() || EndpointOf(found->second) != nullptr) {
+    if (found == attempts_.end() || FindEndpoint(found->second) != nullptr) {
       continue;
     }
-    // Nobody is left who could vouch for it.
+    // The incarnation that could report whether the attempt ran no longer
+    // exists.
     EndAttempt(now, id,
                {.verdict = schema::MAY_HAVE_RUN,
                 .reason = schema::AGENT_RESTARTED,
@@ -356,10 +361,11 @@
   }
 }
 
-auto EntryRouter::Impl::JudgeEndpoint(TimePoint now,
-                                      Endpoint& endpoint,
-                                      const OpenAttempt& attempt,
-                                      const schema::Answer& answer) -> void {
+auto EntryRouter::Impl::RecordEndpointResult(TimePoint now,
+                                             Endpoint& endpoint,
+                                             const OpenAttempt& attempt,
+                                             const schema::Answer& answer)
+    -> void {
   const bool answered = answer.verdict() == schema::ANSWERED;
   const bool failed = answered ? answer.http().status() >= kFirstServerError
                                : IsEndpointFault(answer.reason());
@@ -370,7 +376,7 @@
   }
 }
 
-auto EntryRouter::Impl::EndpointOf(const OpenAttempt& attempt) -> Endpoint* {
+auto EntryRouter::Impl::FindEndpoint(const OpenAttempt& attempt) -> Endpoint* {
   Endpoint* endpoint = table_.Find(attempt.agent);
   return endpoint != nullptr &&
                  endpoint->incarnation == attempt.agent_incarnation
--- a/Source/Routing/entry_router.cc
+++ b/Source/Routing/entry_router.cc
@@ -17,9 +17,9 @@
   return impl_->TakeActions();
 }
 
-auto EntryRouter::OnCallerGone(TimePoint now, uint64_t ticket)
+auto EntryRouter::OnCallerDisconnected(TimePoint now, uint64_t ticket)
     -> RouterActions {
-  impl_->OnCallerGone(now, ticket);
+  impl_->OnCallerDisconnected(now, ticket);
   return impl_->TakeActions();
 }
 
@@ -36,7 +36,7 @@
                       message.answer());
       break;
     default:
-      impl_->Drop(schema::MESSAGE_MALFORMED);
+      impl_->CountDropped(schema::MESSAGE_MALFORMED);
   }
   return impl_->TakeActions();
 }
@@ -44,29 +44,30 @@
 auto EntryRouter::OnUnsent(TimePoint now,
                            const std::string& agent,
                            const schema::Envelope& message) -> RouterActions {
-  // An unsent recall is repeated by its timer.
+  // A recall that was not sent is repeated by its timer.
   if (message.has_offer()) {
     impl_->OnUnsentOffer(now, agent, message.offer());
   }
   return impl_->TakeActions();
 }
 
-auto EntryRouter::OnOnceRecord(TimePoint now,
-                               uint64_t offset,
-                               const schema::LogRecord& record)
+auto EntryRouter::OnIdempotencyRecord(TimePoint now,
+                                      uint64_t offset,
+                                      const schema::LogRecord& record)
     -> RouterActions {
-  impl_->once().OnRecord(now, offset, record);
+  impl_->idempotency().OnRecord(now, offset, record);
   return impl_->TakeActions();
 }
 
-auto EntryRouter::OnOnceStream(TimePoint now, bool available) -> RouterActions {
-  impl_->once().OnStream(now, available);
+auto EntryRouter::OnIdempotencyStream(TimePoint now, bool available)
+    -> RouterActions {
+  impl_->idempotency().OnStream(now, available);
   return impl_->TakeActions();
 }
 
 auto EntryRouter::OnAppendFailed(TimePoint now, const schema::LogEntry& entry)
     -> RouterActions {
-  impl_->once().OnAppendFailed(now, entry);
+  impl_->idempotency().OnAppendFailed(now, entry);
   return impl_->TakeActions();
 }
 
--- a/Source/Routing/entry_router.h
+++ b/Source/Routing/entry_router.h
@@ -13,15 +13,15 @@
 
 namespace rhubarbhaven {
 
-// A request as an entry received it.
+// A request as received by an entry.
 struct CallerRequest {
-  // Names the waiting caller; unique in this process.
+  // Identifies the waiting caller; unique in this process.
   uint64_t ticket = 0;
   std::string request_id;
   std::string partner;
   std::string service;
   // Empty for a repeatable request.
-  std::string once_key;
+  std::string idempotency_key;
   bool repeatable = true;
   TimePoint deadline;
   schema::HttpRequest http;
@@ -33,32 +33,33 @@
   schema::Verdict verdict = schema::VERDICT_UNSPECIFIED;
   schema::Reason reason = schema::REASON_NONE;
   schema::HttpAnswer http;
-  // When to come back; zero for no advice.
+  // Recommended delay before a retry; zero for none.
   std::chrono::milliseconds retry_after{0};
   std::string endpoint;
   int attempts = 0;
 };
 
-// To one agent, by its id.
+// Sends a message to one agent, identified by its id.
 struct SendToAgent {
   std::string agent;
   schema::Envelope message;
 };
 
-// Append to the stream of non-repeatable requests; the record's fate comes
-// back by `OnOnceRecord` and, if it could not be appended, `OnAppendFailed`.
-struct AppendOnce {
+// Appends an entry to the stream of non-repeatable requests. The record is
+// passed back to `OnIdempotencyRecord`; if it could not be appended, the entry
+// is passed to `OnAppendFailed`.
+struct AppendIdempotencyEntry {
   schema::LogEntry entry;
 };
 
-// Ask a peer entry nothing, count something: a retry or refusal with reason.
+// Counts an event, such as a retry or a rejection, with its reason.
 struct CountReason {
   std::string event;
   schema::Reason reason = schema::REASON_NONE;
 };
 
 using RouterAction =
-    std::variant<CallerReply, SendToAgent, AppendOnce, CountReason>;
+    std::variant<CallerReply, SendToAgent, AppendIdempotencyEntry, CountReason>;
 using RouterActions = std::vector<RouterAction>;
 
 struct RouterOptions {
@@ -68,22 +69,22 @@
   uint64_t seed = 1;
   std::size_t max_pending = 4096;
   std::size_t max_pending_bytes = 256 << 20;
-  // Retries allowed for each first attempt, in the long run.
+  // Retries allowed per first attempt, in the long run.
   double retry_ratio = 0.1;
   int max_attempts = 3;
-  // An agent that announced nothing for this long gets no new work.
+  // An agent that has announced nothing for this long receives no new work.
   std::chrono::milliseconds announce_timeout{1000};
-  // How long the outcome of a non-repeatable key is remembered.
-  std::chrono::seconds once_retention{3600};
-  // Largest answer that is kept for a repeated key.
-  std::size_t once_answer_bytes = 16 << 10;
-  // Keys that are remembered at most, and the memory for their answers. When
-  // the keys are full, new non-repeatable requests are refused.
-  std::size_t once_max_keys = 50000;
-  std::size_t once_max_answer_bytes = 16 << 20;
+  // How long the outcome of an idempotency key is kept.
+  std::chrono::seconds idempotency_retention{3600};
+  // Largest answer, in bytes, that is stored for repeats of its key.
+  std::size_t idempotency_answer_bytes = 16 << 10;
+  // Maximum number of keys, and maximum memory for their answers in bytes. When
+  // the limit on keys is reached, new non-repeatable requests are rejected.
+  std::size_t idempotency_max_keys = 50000;
+  std::size_t idempotency_max_answer_bytes = 16 << 20;
 };
 
-// What an operator sees of one endpoint.
+// State of one endpoint as shown to operators.
 struct EndpointView {
   std::string agent;
   std::string partner;
@@ -94,8 +95,8 @@
   std::chrono::microseconds service_time{0};
 };
 
-// Chooses an endpoint for each request, retries within limits, and says in
-// the end whether the request ran.
+// Selects an endpoint for each request, retries within limits, and reports in
+// the reply whether the request ran.
 class EntryRouter {
  public:
   explicit EntryRouter(RouterOptions options);
@@ -104,30 +105,32 @@
   ~EntryRouter();
 
   auto OnRequest(TimePoint now, CallerRequest request) -> RouterActions;
-  // The caller has gone away.
-  auto OnCallerGone(TimePoint now, uint64_t ticket) -> RouterActions;
-  // Announce and Answer, from an agent.
+  // The caller has disconnected.
+  auto OnCallerDisconnected(TimePoint now, uint64_t ticket) -> RouterActions;
+  // Handles an Announce or an Answer from an agent.
   auto OnMessage(TimePoint now,
                  const std::string& agent,
                  const schema::Envelope& message) -> RouterActions;
-  // The link says that a message was not handed to any connection.
+  // The link reports that a message was not passed to any connection.
   auto OnUnsent(TimePoint now,
                 const std::string& agent,
                 const schema::Envelope& message) -> RouterActions;
-  // A record of the once stream, in offset order, from all writers.
-  auto OnOnceRecord(TimePoint now,
-                    uint64_t offset,
-                    const schema::LogRecord& record) -> RouterActions;
-  // Whether the once stream is read up to its end and can be appended to.
-  auto OnOnceStream(TimePoint now, bool available) -> RouterActions;
+  // Handles a record of the idempotency stream, in offset order, from any
+  // writer.
+  auto OnIdempotencyRecord(TimePoint now,
+                           uint64_t offset,
+                           const schema::LogRecord& record) -> RouterActions;
+  // Sets whether the idempotency stream has been read to its end and can be
+  // appended to.
+  auto OnIdempotencyStream(TimePoint now, bool available) -> RouterActions;
   auto OnAppendFailed(TimePoint now, const schema::LogEntry& entry)
       -> RouterActions;
-  // Partners and services with their weights, from the configuration.
+  // Sets the partners and services, with their weights, from the configuration.
   auto SetServices(TimePoint now,
                    const std::vector<schema::VersionedObject>& objects)
       -> RouterActions;
   auto OnTick(TimePoint now) -> RouterActions;
-  // When `OnTick` is wanted next.
+  // Time at which `OnTick` should be called next.
   auto next_wake() const -> TimePoint;
 
   auto endpoints() const -> std::vector<EndpointView>;
--- a/Source/Routing/entry_router_impl.cc
+++ b/Source/Routing/entry_router_impl.cc
@@ -10,45 +10,47 @@
 
 using std::chrono::milliseconds;
 
-// Requests that were tried on all ready endpoints do not hold up those behind
-// them, of which this many are looked at.
-constexpr int kMostPassedOver = 32;
+// Requests that have been tried on all ready endpoints do not block those
+// behind them. At most this many are skipped.
+constexpr int kMaxSkippedRequests = 32;
 constexpr milliseconds kUncheckedInterval{100};
-// The wait is an estimate; work that misses its deadline is lost, so the wait
-// is taken for this much longer.
-constexpr int kWaitMargin = 2;
-// After the caller's deadline, how long the outcome of a non-repeatable
-// request is still asked for.
-constexpr std::chrono::seconds kOutcomeWanted{30};
-constexpr milliseconds kShortestRetryAfter{100};
-constexpr milliseconds kLongestRetryAfter{10000};
+// The expected wait is an estimate, and work that misses its deadline is
+// wasted, so the wait is multiplied by this factor.
+constexpr int kWaitFactor = 2;
+// How long after the caller's deadline the outcome of a non-repeatable request
+// is still queried.
+constexpr std::chrono::seconds kOutcomeQueryTime{30};
+constexpr milliseconds kMinRetryAfter{100};
+constexpr milliseconds kMaxRetryAfter{10000};
 constexpr milliseconds kRetryAfterOutage{1000};
 
-// Leaves room above for the attempts of one process.
+// Halves the hash so that the ids of one process do not overflow.
 auto FirstAttemptId(const RouterOptions& options) -> uint64_t {
   return StableHash(options.entry_id, options.entry_incarnation) >> 1U;
 }
 
-auto OnceKeyOf(const CallerRequest& caller) -> std::string {
+auto MakeIdempotencyKey(const CallerRequest& caller) -> std::string {
   return absl::StrCat(caller.partner, "/", caller.service, "/",
-                      absl::CHexEscape(caller.once_key));
+                      absl::CHexEscape(caller.idempotency_key));
 }
 
-// Headers differ between repeats of the same request (dates, trace ids).
+// Headers such as dates and trace ids differ between repeats of the same
+// request and are not hashed.
 auto RequestHash(const schema::HttpRequest& http) -> uint64_t {
   const uint64_t method = StableHash(http.method());
   return StableHash(http.body(), StableHash(http.path(), method));
 }
 
-auto MakeOnceOptions(const RouterOptions& options) -> OnceRunsOptions {
-  OnceRunsOptions once;
-  once.entry_id = options.entry_id;
-  once.entry_incarnation = options.entry_incarnation;
-  once.max_answer_bytes = options.once_answer_bytes;
-  once.table.retention = options.once_retention;
-  once.table.max_keys = options.once_max_keys;
-  once.table.max_answer_bytes = options.once_max_answer_bytes;
-  return once;
+auto MakeIdempotencyOptions(const RouterOptions& options)
+    -> IdempotencyCoordinatorOptions {
+  IdempotencyCoordinatorOptions idempotency;
+  idempotency.entry_id = options.entry_id;
+  idempotency.entry_incarnation = options.entry_incarnation;
+  idempotency.max_answer_bytes = options.idempotency_answer_bytes;
+  idempotency.table.retention = options.idempotency_retention;
+  idempotency.table.max_keys = options.idempotency_max_keys;
+  idempotency.table.max_answer_bytes = options.idempotency_max_answer_bytes;
+  return idempotency;
 }
 
 }  // namespace
@@ -56,21 +58,24 @@
 EntryRouter::Impl::Impl(RouterOptions options)
     : options_(std::move(options)),
       table_(options_.failure_domain, options_.announce_timeout, options_.seed),
-      shares_(options_.max_pending, options_.max_pending_bytes),
+      pending_limiter_(options_.max_pending, options_.max_pending_bytes),
       budget_(options_.retry_ratio),
-      once_([this] {
-        OnceRunsOptions once = MakeOnceOptions(options_);
-        once.append = [this](schema::LogEntry entry) {
-          actions_.emplace_back(AppendOnce{std::move(entry)});
+      idempotency_([this] {
+        IdempotencyCoordinatorOptions idempotency =
+            MakeIdempotencyOptions(options_);
+        idempotency.append = [this](schema::LogEntry entry) {
+          actions_.emplace_back(AppendIdempotencyEntry{std::move(entry)});
         };
-        once.run = [this](TimePoint now, uint64_t id) {
+        idempotency.run = [this](TimePoint now, uint64_t id) {
           Request& request = requests_.at(id);
           request.owns_run = true;
-          Wait(now, id, request);
+          StartWaiting(now, id, request);
         };
-        once.finish = [this](TimePoint now, uint64_t id,
-                             const Outcome& outcome) { End(now, id, outcome); };
-        return once;
+        idempotency.finish = [this](TimePoint now, uint64_t id,
+                                    const Outcome& outcome) {
+          End(now, id, outcome);
+        };
+        return idempotency;
       }()),
       last_attempt_(FirstAttemptId(options_)) {}
 
@@ -83,35 +88,38 @@
   const std::string partner = request.caller.partner;
   const std::size_t bytes = request.bytes;
   schema::Reason reason = directory_.Check(now, request.caller);
-  if (reason == schema::REASON_NONE && !request.caller.once_key.empty()) {
-    request.once_key = OnceKeyOf(request.caller);
+  if (reason == schema::REASON_NONE &&
+      !request.caller.idempotency_key.empty()) {
+    request.idempotency_key = MakeIdempotencyKey(request.caller);
   }
-  // A repeat whose outcome is known needs no endpoint.
-  const bool is_repeat =
-      !request.once_key.empty() && once_.Knows(request.once_key);
+  // A repeat of a known key needs no endpoint.
+  const bool is_repeat = !request.idempotency_key.empty() &&
+                         idempotency_.HasKey(request.idempotency_key);
   if (reason == schema::REASON_NONE && !is_repeat) {
     reason = CheckCapacity(now, request.pool, request.caller.deadline);
   }
-  if (reason == schema::REASON_NONE && !MakeRoom(now, partner, bytes)) {
+  if (reason == schema::REASON_NONE && !EnsureCapacity(now, partner, bytes)) {
     reason = schema::OVERLOADED;
   }
-  shares_.Add(partner, bytes);
+  pending_limiter_.Add(partner, bytes);
   by_ticket_[request.caller.ticket] = id;
-  Request& kept = requests_.emplace(id, std::move(request)).first->second;
+  Request& stored = requests_.emplace(id, std::move(request)).first->second;
   if (reason != schema::REASON_NONE) {
     End(now, id, {.verdict = schema::NOT_RUN, .reason = reason, .http = {}});
     return;
   }
-  timers_.Set({TimerKind::kRequest, id}, kept.caller.deadline);
-  if (kept.once_key.empty()) {
-    Wait(now, id, kept);
+  timers_.Set({TimerKind::kRequest, id}, stored.caller.deadline);
+  if (stored.idempotency_key.empty()) {
+    StartWaiting(now, id, stored);
     return;
   }
-  kept.stage = Stage::kOnce;
-  once_.Start(now, id, kept.once_key, RequestHash(kept.caller.http));
+  stored.stage = Stage::kIdempotency;
+  idempotency_.Start(now, id, stored.idempotency_key,
+                     RequestHash(stored.caller.http));
 }
 
-auto EntryRouter::Impl::OnCallerGone(TimePoint now, uint64_t ticket) -> void {
+auto EntryRouter::Impl::OnCallerDisconnected(TimePoint now, uint64_t ticket)
+    -> void {
   const auto found = by_ticket_.find(ticket);
   if (found == by_ticket_.end()) {
     return;
@@ -119,12 +127,12 @@
   const uint64_t id = found->second;
   Request& request = requests_.at(id);
   const bool in_progress = !request.open_attempts.empty();
-  if (request.stage == Stage::kOnce) {
-    once_.GiveUp(id, request.once_key);
+  if (request.stage == Stage::kIdempotency) {
+    idempotency_.Abandon(id, request.idempotency_key);
   }
   Release(id, request);
   if (request.owns_run && in_progress) {
-    timers_.Set({TimerKind::kRequest, id}, now + kOutcomeWanted);
+    timers_.Set({TimerKind::kRequest, id}, now + kOutcomeQueryTime);
     return;
   }
   for (const uint64_t attempt : request.open_attempts) {
@@ -140,12 +148,12 @@
 auto EntryRouter::Impl::SetServices(
     const std::vector<schema::VersionedObject>& objects) -> void {
   directory_.Set(objects);
-  shares_.SetWeights(directory_.weights());
+  pending_limiter_.SetWeights(directory_.weights());
 }
 
 auto EntryRouter::Impl::OnTick(TimePoint now) -> void {
   for (const std::string& agent : table_.OnTick(now)) {
-    OnAgentSilent(now, agent);
+    OnAgentUnresponsive(now, agent);
   }
   while (const auto key = timers_.PopDue(now)) {
     if (key->first == TimerKind::kRequest) {
@@ -154,7 +162,7 @@
       OnAttemptTimer(now, key->second);
     }
   }
-  once_.OnTick(now);
+  idempotency_.OnTick(now);
   DispatchAll(now);
 }
 
@@ -173,33 +181,35 @@
   const std::size_t ahead =
       waiting == waiting_.end() ? 0 : waiting->second.size();
   const Duration wait = ExpectedWait(*pool, ahead);
-  const Duration expected = kWaitMargin * wait + AttemptTime(*pool);
-  if (now + expected > deadline && !PassesUnchecked(now, key)) {
+  const Duration expected = kWaitFactor * wait + AttemptTimeBound(*pool);
+  if (now + expected > deadline && !AllowUnchecked(now, key)) {
     return schema::DEADLINE_UNREACHABLE;
   }
   return schema::REASON_NONE;
 }
 
-auto EntryRouter::Impl::MakeRoom(TimePoint now,
-                                 const std::string& partner,
-                                 std::size_t bytes) -> bool {
-  while (!shares_.HasRoom(bytes)) {
-    const std::string victim = shares_.PartnerToDisplace(partner, bytes);
+auto EntryRouter::Impl::EnsureCapacity(TimePoint now,
+                                       const std::string& partner,
+                                       std::size_t bytes) -> bool {
+  while (!pending_limiter_.HasCapacity(bytes)) {
+    const std::string victim =
+        pending_limiter_.PartnerToDisplace(partner, bytes);
     if (victim.empty()) {
       return false;
     }
-    End(now, shares_.NewestWaiting(victim),
+    End(now, pending_limiter_.NewestWaiting(victim),
         {.verdict = schema::NOT_RUN, .reason = schema::OVERLOADED, .http = {}});
   }
   return true;
 }
 
-auto EntryRouter::Impl::Wait(TimePoint now, uint64_t id, Request& request)
-    -> void {
+auto EntryRouter::Impl::StartWaiting(TimePoint now,
+                                     uint64_t id,
+                                     Request& request) -> void {
   request.stage = Stage::kWaiting;
   waiting_[request.pool].insert(id);
   if (request.attempts == 0 && !request.owns_run) {
-    shares_.AddWaiting(request.caller.partner, id);
+    pending_limiter_.AddWaiting(request.caller.partner, id);
   }
   Dispatch(now, request.pool);
 }
@@ -210,7 +220,7 @@
     found->second.erase(id);
   }
   if (!request.replied) {
-    shares_.RemoveWaiting(request.caller.partner, id);
+    pending_limiter_.RemoveWaiting(request.caller.partner, id);
   }
 }
 
@@ -222,19 +232,19 @@
   EndpointPool* pool = table_.FindPool(key);
   if (pool == nullptr || pool->live == 0) {
     for (const uint64_t id : std::set<uint64_t>(found->second)) {
-      RefuseWaiting(now, id, schema::NO_ENDPOINT);
+      RejectWaiting(now, id, schema::NO_ENDPOINT);
     }
     return;
   }
-  int passed_over = 0;
+  int skipped = 0;
   auto next = found->second.begin();
   while (next != found->second.end() && !pool->ready.empty() &&
-         passed_over < kMostPassedOver) {
+         skipped < kMaxSkippedRequests) {
     const uint64_t id = *next;
     ++next;
     Endpoint* endpoint = table_.Choose(now, *pool, requests_.at(id).tried);
     if (endpoint == nullptr) {
-      ++passed_over;
+      ++skipped;
       continue;
     }
     Send(now, id, *endpoint);
@@ -252,7 +262,7 @@
   std::erase_if(waiting_, [](const auto& one) { return one.second.empty(); });
 }
 
-auto EntryRouter::Impl::RefuseWaiting(TimePoint now,
+auto EntryRouter::Impl::RejectWaiting(TimePoint now,
                                       uint64_t id,
                                       schema::Reason reason) -> void {
   Request& request = requests_.at(id);
@@ -269,8 +279,8 @@
 
 auto EntryRouter::Impl::OnRequestTimer(TimePoint now, uint64_t id) -> void {
   Request& request = requests_.at(id);
-  if (request.stage == Stage::kOnce) {
-    End(now, id, once_.GiveUp(id, request.once_key));
+  if (request.stage == Stage::kIdempotency) {
+    End(now, id, idempotency_.Abandon(id, request.idempotency_key));
     return;
   }
   const bool in_progress = !request.open_attempts.empty();
@@ -283,11 +293,11 @@
     outcome.reason = schema::DEADLINE_UNREACHABLE;
   }
   if (request.owns_run && in_progress && !request.replied) {
-    // The outcome is still wanted, for the key's repeats.
+    // Repeats of the key still need the outcome.
     StopWaiting(id, request);
     request.stage = Stage::kSent;
     Reply(now, id, outcome);
-    timers_.Set({TimerKind::kRequest, id}, now + kOutcomeWanted);
+    timers_.Set({TimerKind::kRequest, id}, now + kOutcomeQueryTime);
     return;
   }
   End(now, id, outcome);
@@ -301,10 +311,11 @@
   }
   StopWaiting(id, request);
   timers_.Cancel({TimerKind::kRequest, id});
-  const std::string key = request.owns_run ? request.once_key : std::string();
+  const std::string key =
+      request.owns_run ? request.idempotency_key : std::string();
   requests_.erase(id);
   if (!key.empty()) {
-    once_.OnRan(key, outcome);
+    idempotency_.OnRunFinished(key, outcome);
   }
 }
 
@@ -331,10 +342,11 @@
   Release(id, request);
 }
 
-// Gives the request's room back; its caller hears no more of it.
+// Releases the request's share of the pending limits. Its caller receives
+// nothing further.
 auto EntryRouter::Impl::Release(uint64_t id, Request& request) -> void {
-  shares_.RemoveWaiting(request.caller.partner, id);
-  shares_.Remove(request.caller.partner, request.bytes);
+  pending_limiter_.RemoveWaiting(request.caller.partner, id);
+  pending_limiter_.Remove(request.caller.partner, request.bytes);
   by_ticket_.erase(request.caller.ticket);
   request.replied = true;
 }
@@ -359,11 +371,11 @@
   const EndpointPool* endpoints = table_.FindPool(pool);
   const auto waiting = waiting_.find(pool);
   if (endpoints == nullptr || waiting == waiting_.end()) {
-    return kShortestRetryAfter;
+    return kMinRetryAfter;
   }
   const auto expected = std::chrono::ceil<milliseconds>(
       ExpectedWait(*endpoints, waiting->second.size()));
-  return std::clamp(expected, kShortestRetryAfter, kLongestRetryAfter);
+  return std::clamp(expected, kMinRetryAfter, kMaxRetryAfter);
 }
 
 auto EntryRouter::Impl::Count(const char* event, schema::Reason reason)
@@ -371,9 +383,9 @@
   actions_.emplace_back(CountReason{event, reason});
 }
 
-auto EntryRouter::Impl::PassesUnchecked(TimePoint now, const PoolKey& key)
+auto EntryRouter::Impl::AllowUnchecked(TimePoint now, const PoolKey& key)
     -> bool {
-  TimePoint& next = unchecked_at_[key];
+  TimePoint& next = next_unchecked_at_[key];
   if (now < next) {
     return false;
   }
--- a/Source/Routing/once_runs.cc
+++ b/Source/Routing/idempotency_coordinator.cc
@@ -1,4 +1,4 @@
-#include "Routing/once_runs.h"
+#include "Routing/idempotency_coordinator.h"
 
 #include <utility>
 
@@ -13,7 +13,7 @@
   return {.verdict = verdict, .reason = reason, .http = {}};
 }
 
-auto Store(const schema::HttpAnswer& http) -> schema::StoredAnswer {
+auto ToStoredAnswer(const schema::HttpAnswer& http) -> schema::StoredAnswer {
   schema::StoredAnswer stored;
   stored.set_status(http.status());
   stored.set_body(http.body());
@@ -25,7 +25,8 @@
   return stored;
 }
 
-auto Restore(const schema::StoredAnswer& stored) -> schema::HttpAnswer {
+auto FromStoredAnswer(const schema::StoredAnswer& stored)
+    -> schema::HttpAnswer {
   schema::HttpAnswer http;
   http.set_status(stored.status());
   http.set_body(stored.body());
@@ -39,24 +40,25 @@
 
 }  // namespace
 
-OnceRuns::OnceRuns(OnceRunsOptions options)
+IdempotencyCoordinator::IdempotencyCoordinator(
+    IdempotencyCoordinatorOptions options)
     : options_(std::move(options)), table_(options_.table) {}
 
-auto OnceRuns::Start(TimePoint now,
-                     uint64_t id,
-                     const std::string& key,
-                     uint64_t request_hash) -> void {
-  if (const OnceKey* known = table_.Find(key)) {
+auto IdempotencyCoordinator::Start(TimePoint now,
+                                   uint64_t id,
+                                   const std::string& key,
+                                   uint64_t request_hash) -> void {
+  if (const IdempotencyKeyState* known = table_.Find(key)) {
     Outcome outcome;
     if (KnownOutcome(*known, request_hash, outcome)) {
       options_.finish(now, id, std::move(outcome));
       return;
     }
-    locals_[key].waiters.emplace(id, request_hash);
+    local_states_[key].waiters.emplace(id, request_hash);
     return;
   }
-  const auto local = locals_.find(key);
-  if (local != locals_.end()) {
+  const auto local = local_states_.find(key);
+  if (local != local_states_.end()) {
     local->second.waiters.emplace(id, request_hash);
     return;
   }
@@ -72,14 +74,15 @@
   AppendIntent(key, id, request_hash);
 }
 
-auto OnceRuns::OnRan(const std::string& key, const Outcome& outcome) -> void {
-  Local& local = locals_[key];
+auto IdempotencyCoordinator::OnRunFinished(const std::string& key,
+                                           const Outcome& outcome) -> void {
+  LocalState& local = local_states_[key];
   local.owner = 0;
   local.running = false;
-  const OnceKey* known = table_.Find(key);
+  const IdempotencyKeyState* known = table_.Find(key);
   if (known == nullptr || !IsOwn(*known)) {
-    // It ran for longer than keys are remembered.
-    Forget(key);
+    // The request ran for longer than the retention period of its key.
+    RemoveIfUnused(key);
     return;
   }
   schema::OnceDone done;
@@ -88,21 +91,22 @@
   done.set_not_run(outcome.verdict == schema::NOT_RUN);
   if (outcome.verdict == schema::ANSWERED &&
       outcome.http.body().size() <= options_.max_answer_bytes) {
-    *done.mutable_answer() = Store(outcome.http);
+    *done.mutable_answer() = ToStoredAnswer(outcome.http);
   } else {
     done.set_unknown(!done.not_run());
   }
   AppendDone(std::move(done));
 }
 
-auto OnceRuns::GiveUp(uint64_t id, const std::string& key) -> Outcome {
-  const auto found = locals_.find(key);
-  if (found != locals_.end()) {
-    Local& local = found->second;
+auto IdempotencyCoordinator::Abandon(uint64_t id, const std::string& key)
+    -> Outcome {
+  const auto found = local_states_.find(key);
+  if (found != local_states_.end()) {
+    LocalState& local = found->second;
     local.waiters.erase(id);
-    // The intent may still come back first; then the key is freed again.
+    // The intent may still be read from the stream; the key is then freed.
     local.owner = local.owner == id ? 0 : local.owner;
-    Forget(key);
+    RemoveIfUnused(key);
   }
   if (table_.Find(key) != nullptr) {
     return MakeOutcome(schema::MAY_HAVE_RUN, schema::KEY_IN_PROGRESS);
@@ -110,74 +114,77 @@
   return MakeOutcome(schema::NOT_RUN, schema::LOG_UNAVAILABLE);
 }
 
-auto OnceRuns::OnRecord(TimePoint now,
-                        uint64_t offset,
-                        const schema::LogRecord& record) -> void {
-  for (const OnceEvent& event : table_.Apply(now, offset, record)) {
+auto IdempotencyCoordinator::OnRecord(TimePoint now,
+                                      uint64_t offset,
+                                      const schema::LogRecord& record) -> void {
+  for (const IdempotencyEvent& event : table_.Apply(now, offset, record)) {
     switch (event.kind) {
-      case OnceEvent::Kind::kIntent:
+      case IdempotencyEvent::Kind::kIntent:
         OnIntent(now, event.name);
         break;
-      case OnceEvent::Kind::kDone:
+      case IdempotencyEvent::Kind::kDone:
         OnDone(now, event.name);
         break;
-      case OnceEvent::Kind::kFreed:
+      case IdempotencyEvent::Kind::kFreed:
         OnFreed(now, event.name);
         break;
-      case OnceEvent::Kind::kEntryRestarted:
+      case IdempotencyEvent::Kind::kEntryRestarted:
         OnEntryRestarted(now);
         break;
     }
   }
 }
 
-auto OnceRuns::OnStream(TimePoint now, bool available) -> void {
+auto IdempotencyCoordinator::OnStream(TimePoint now, bool available) -> void {
   available_ = available;
   OnTick(now);
 }
 
-auto OnceRuns::OnAppendFailed(TimePoint now, const schema::LogEntry& entry)
+auto IdempotencyCoordinator::OnAppendFailed(TimePoint now,
+                                            const schema::LogEntry& entry)
     -> void {
   if (entry.has_once_done()) {
     const std::string& key = entry.once_done().key();
-    if (unseen_.contains(key)) {
-      to_append_.insert(key);
+    if (unconfirmed_outcomes_.contains(key)) {
+      keys_to_append_.insert(key);
     }
     return;
   }
   const std::string key = entry.once_intent().key();
-  const auto found = locals_.find(key);
-  if (found == locals_.end() || found->second.running ||
+  const auto found = local_states_.find(key);
+  if (found == local_states_.end() || found->second.running ||
       table_.Find(key) != nullptr) {
     return;
   }
   const uint64_t owner = std::exchange(found->second.owner, 0);
   const auto waiters = std::exchange(found->second.waiters, {});
-  locals_.erase(found);
-  const Outcome refused = MakeOutcome(schema::NOT_RUN, schema::LOG_UNAVAILABLE);
+  local_states_.erase(found);
+  const Outcome rejection =
+      MakeOutcome(schema::NOT_RUN, schema::LOG_UNAVAILABLE);
   if (owner != 0) {
-    options_.finish(now, owner, refused);
+    options_.finish(now, owner, rejection);
   }
   for (const auto& [id, hash] : waiters) {
-    options_.finish(now, id, refused);
+    options_.finish(now, id, rejection);
   }
 }
 
-auto OnceRuns::OnTick(TimePoint now) -> void {
-  table_.DropOld(now);
+auto IdempotencyCoordinator::OnTick(TimePoint now) -> void {
+  table_.RemoveExpired(now);
   if (!available_) {
     return;
   }
-  for (const std::string& key : std::exchange(to_append_, {})) {
+  for (const std::string& key : std::exchange(keys_to_append_, {})) {
     schema::LogEntry entry;
-    *entry.mutable_once_done() = unseen_[key];
+    *entry.mutable_once_done() = unconfirmed_outcomes_[key];
     options_.append(std::move(entry));
   }
 }
 
-auto OnceRuns::AppendIntent(const std::string& key, uint64_t id, uint64_t hash)
-    -> void {
-  Local& local = locals_[key];
+auto IdempotencyCoordinator::AppendIntent(const std::string& key,
+                                          uint64_t id,
+                                          uint64_t hash) -> void {
+  LocalState& local = local_states_[key];
   local.owner = id;
   local.request_hash = hash;
   schema::LogEntry entry;
@@ -189,22 +196,24 @@
   options_.append(std::move(entry));
 }
 
-auto OnceRuns::AppendDone(schema::OnceDone done) -> void {
-  unseen_[done.key()] = done;
+auto IdempotencyCoordinator::AppendDone(schema::OnceDone done) -> void {
+  unconfirmed_outcomes_[done.key()] = done;
   schema::LogEntry entry;
   *entry.mutable_once_done() = std::move(done);
   options_.append(std::move(entry));
 }
 
-auto OnceRuns::OnIntent(TimePoint now, const std::string& key) -> void {
-  const OnceKey& known = *table_.Find(key);
-  const auto found = locals_.find(key);
+auto IdempotencyCoordinator::OnIntent(TimePoint now, const std::string& key)
+    -> void {
+  const IdempotencyKeyState& known = *table_.Find(key);
+  const auto found = local_states_.find(key);
   if (!IsOwn(known)) {
-    if (found == locals_.end()) {
+    if (found == local_states_.end()) {
       return;
     }
-    // Another entry was first: the request that wanted to run now waits.
-    Local& local = found->second;
+    // Another entry's intent came first, so the request that was to run now
+    // waits.
+    LocalState& local = found->second;
     if (local.owner != 0) {
       local.waiters.emplace(local.owner, local.request_hash);
       local.owner = 0;
@@ -212,10 +221,12 @@
     FinishWaiters(now, key);
     return;
   }
-  const bool wanted = found != locals_.end() && found->second.owner != 0 &&
+  const bool wanted = found != local_states_.end() &&
+                      found->second.owner != 0 &&
                       found->second.request_hash == known.request_hash;
   if (!wanted) {
-    // Its caller was told `not_run` meanwhile, so it must never run.
+    // Its caller has received `not_run` in the meantime, so the request must
+    // never run.
     schema::OnceDone done;
     done.set_key(key);
     done.set_intent_offset(known.intent_offset);
@@ -229,23 +240,25 @@
   options_.run(now, owner);
 }
 
-auto OnceRuns::OnDone(TimePoint now, const std::string& key) -> void {
-  unseen_.erase(key);
-  to_append_.erase(key);
+auto IdempotencyCoordinator::OnDone(TimePoint now, const std::string& key)
+    -> void {
+  unconfirmed_outcomes_.erase(key);
+  keys_to_append_.erase(key);
   FinishWaiters(now, key);
-  Forget(key);
+  RemoveIfUnused(key);
 }
 
-auto OnceRuns::OnFreed(TimePoint now, const std::string& key) -> void {
-  unseen_.erase(key);
-  to_append_.erase(key);
-  const auto found = locals_.find(key);
-  if (found == locals_.end()) {
+auto IdempotencyCoordinator::OnFreed(TimePoint now, const std::string& key)
+    -> void {
+  unconfirmed_outcomes_.erase(key);
+  keys_to_append_.erase(key);
+  const auto found = local_states_.find(key);
+  if (found == local_states_.end()) {
     return;
   }
-  Local& local = found->second;
+  LocalState& local = found->second;
   if (local.owner == 0 && local.waiters.empty()) {
-    locals_.erase(found);
+    local_states_.erase(found);
     return;
   }
   if (!available_) {
@@ -254,7 +267,7 @@
     OnAppendFailed(now, entry);
     return;
   }
-  // An intent that was appended meanwhile was void; a new one is needed.
+  // An intent appended in the meantime had no effect, so a new one is needed.
   if (local.owner == 0) {
     const auto first = local.waiters.begin();
     local.owner = first->first;
@@ -264,27 +277,28 @@
   AppendIntent(key, local.owner, local.request_hash);
 }
 
-auto OnceRuns::OnEntryRestarted(TimePoint now) -> void {
+auto IdempotencyCoordinator::OnEntryRestarted(TimePoint now) -> void {
   std::set<std::string> keys;
-  for (const auto& [key, local] : locals_) {
+  for (const auto& [key, local] : local_states_) {
     if (!local.waiters.empty() && table_.Find(key) != nullptr) {
       keys.insert(key);
     }
   }
   for (const std::string& key : keys) {
     FinishWaiters(now, key);
-    Forget(key);
+    RemoveIfUnused(key);
   }
 }
 
-auto OnceRuns::IsOwn(const OnceKey& key) const -> bool {
+auto IdempotencyCoordinator::IsOwn(const IdempotencyKeyState& key) const
+    -> bool {
   return key.entry == options_.entry_id &&
          key.entry_incarnation == options_.entry_incarnation;
 }
 
-auto OnceRuns::KnownOutcome(const OnceKey& key,
-                            uint64_t hash,
-                            Outcome& outcome) const -> bool {
+auto IdempotencyCoordinator::KnownOutcome(const IdempotencyKeyState& key,
+                                          uint64_t hash,
+                                          Outcome& outcome) const -> bool {
   if (key.request_hash != hash) {
     outcome =
         MakeOutcome(schema::NOT_RUN, schema::KEY_REUSED_FOR_OTHER_REQUEST);
@@ -293,23 +307,25 @@
   if (key.answered) {
     outcome = {.verdict = schema::ANSWERED,
                .reason = schema::REASON_NONE,
-               .http = Restore(key.answer)};
+               .http = FromStoredAnswer(key.answer)};
     return true;
   }
-  const bool of_earlier_self = key.entry == options_.entry_id && !IsOwn(key);
-  if (key.unknown || of_earlier_self || table_.IsOrphan(key)) {
-    // This repeat did not run, but the key may have: `not_run` would invite
-    // a second run under another key.
+  const bool by_previous_incarnation =
+      key.entry == options_.entry_id && !IsOwn(key);
+  if (key.unknown || by_previous_incarnation || table_.IsOrphan(key)) {
+    // This repeat did not run, but an earlier request with its key may have;
+    // `not_run` would invite the caller to run it again under another key.
     outcome = MakeOutcome(schema::MAY_HAVE_RUN, schema::KEY_OUTCOME_UNKNOWN);
     return true;
   }
   return false;
 }
 
-auto OnceRuns::FinishWaiters(TimePoint now, const std::string& key) -> void {
-  const OnceKey* known = table_.Find(key);
-  const auto found = locals_.find(key);
-  if (known == nullptr || found == locals_.end()) {
+auto IdempotencyCoordinator::FinishWaiters(TimePoint now,
+                                           const std::string& key) -> void {
+  const IdempotencyKeyState* known = table_.Find(key);
+  const auto found = local_states_.find(key);
+  if (known == nullptr || found == local_states_.end()) {
     return;
   }
   std::map<uint64_t, Outcome> finished;
@@ -325,12 +341,13 @@
   }
 }
 
-// Drops this entry's part when nothing waits on the key any more.
-auto OnceRuns::Forget(const std::string& key) -> void {
-  const auto found = locals_.find(key);
-  if (found != locals_.end() && found->second.owner == 0 &&
+// Removes this entry's state for a key that no request uses or waits for any
+// more.
+auto IdempotencyCoordinator::RemoveIfUnused(const std::string& key) -> void {
+  const auto found = local_states_.find(key);
+  if (found != local_states_.end() && found->second.owner == 0 &&
       !found->second.running && found->second.waiters.empty()) {
-    locals_.erase(found);
+    local_states_.erase(found);
   }
 }
 
--- a/Source/Routing/retry_budget.cc
+++ b/Source/Routing/retry_budget.cc
@@ -5,16 +5,16 @@
 namespace rhubarbhaven {
 namespace {
 
-// What may be saved up: enough for the offers on their way to one endpoint
-// that stops.
-constexpr double kMostTokens = 32;
+// Maximum number of retries that can accumulate: enough for the offers in
+// transit to one endpoint that stops.
+constexpr double kMaxTokens = 32;
 
 }  // namespace
 
-RetryBudget::RetryBudget(double ratio) : ratio_(ratio), tokens_(kMostTokens) {}
+RetryBudget::RetryBudget(double ratio) : ratio_(ratio), tokens_(kMaxTokens) {}
 
 auto RetryBudget::OnFirstAttempt() -> void {
-  tokens_ = std::min(kMostTokens, tokens_ + ratio_);
+  tokens_ = std::min(kMaxTokens, tokens_ + ratio_);
 }
 
 auto RetryBudget::Take() -> bool {
--- a/Source/Routing/retry_budget.h
+++ b/Source/Routing/retry_budget.h
@@ -3,15 +3,15 @@
 
 namespace rhubarbhaven {
 
-// Bounds retries to a share of first attempts. Without it, a fault that
-// refuses much would multiply the load on what still works; one would notice
-// more attempts than requests. The budget ties retries to requests.
+// Limits retries to a share of the first attempts. Without it, a fault that
+// rejects many requests would multiply the load on the endpoints that still
+// work.
 class RetryBudget {
  public:
   explicit RetryBudget(double ratio);
 
   auto OnFirstAttempt() -> void;
-  // Takes one retry out; false if there is none.
+  // Takes one retry from the budget; returns false if there is none.
   auto Take() -> bool;
 
  private:
--- a/Source/Routing/routing.h
+++ b/Source/Routing/routing.h
@@ -1,8 +1,9 @@
 #ifndef RHUBARBHAVEN_ROUTING_ROUTING_H_
 #define RHUBARBHAVEN_ROUTING_ROUTING_H_
 
-// The decisions about requests. No I/O, no locks, no clock, no threads: an
-// event and a time point go in, actions come out.
+// Routing decisions for requests. The classes do no I/O, take no locks, read no
+// clock and start no threads: they take an event and a time point and return
+// actions.
 
 #include "Routing/agent_admission.h"
 #include "Routing/entry_router.h"
--- a/Source/Routing/service_directory.cc
+++ b/Source/Routing/service_directory.cc
@@ -5,8 +5,8 @@
 namespace rhubarbhaven {
 namespace {
 
-constexpr std::chrono::hours kLongestDeadline{24};
-constexpr std::size_t kLongestOnceKey = 256;
+constexpr std::chrono::hours kMaxDeadline{24};
+constexpr std::size_t kMaxIdempotencyKeyBytes = 256;
 
 }  // namespace
 
@@ -17,7 +17,7 @@
   weights_.clear();
   for (const schema::VersionedObject& object : objects) {
     const std::string& partner = object.key().partner();
-    // A partner is known by any object of it.
+    // Any object of a partner makes the partner known.
     auto& services = services_[partner];
     if (object.object().has_service()) {
       services.insert(object.key().name());
@@ -40,14 +40,14 @@
   if (!partner->second.contains(caller.service)) {
     return schema::UNKNOWN_SERVICE;
   }
-  if (!caller.repeatable && caller.once_key.empty()) {
+  if (!caller.repeatable && caller.idempotency_key.empty()) {
     return schema::KEY_REQUIRED;
   }
   if (!IsEncodable(caller.http) || !IsAscii(caller.request_id) ||
-      caller.once_key.size() > kLongestOnceKey) {
+      caller.idempotency_key.size() > kMaxIdempotencyKeyBytes) {
     return schema::BAD_REQUEST;
   }
-  if (caller.deadline <= now || caller.deadline - now > kLongestDeadline) {
+  if (caller.deadline <= now || caller.deadline - now > kMaxDeadline) {
     return schema::DEADLINE_INVALID;
   }
   return schema::REASON_NONE;
--- a/Source/Routing/service_directory.h
+++ b/Source/Routing/service_directory.h
@@ -12,15 +12,15 @@
 
 namespace rhubarbhaven {
 
-// The partners and services of the configuration, and whether a request is
-// one that an entry can take.
+// Holds the configured partners and services, and checks whether an entry can
+// accept a request.
 class ServiceDirectory {
  public:
   auto Set(const std::vector<schema::VersionedObject>& objects) -> void;
-  // REASON_NONE, or why the request is refused.
+  // Returns REASON_NONE, or the reason for which the request is rejected.
   auto Check(TimePoint now, const CallerRequest& caller) const
       -> schema::Reason;
-  // Request weights by partner; a partner without one is not named.
+  // Request weights by partner; partners without a weight are not included.
   auto weights() const -> const std::map<std::string, uint32_t>& {
     return weights_;
   }
--- a/Source/Routing/window_planner.cc
+++ b/Source/Routing/window_planner.cc
@@ -6,17 +6,19 @@
 namespace rhubarbhaven {
 namespace {
 
-// An idle entry can start this many requests before it learns its window.
-constexpr uint32_t kSmallestWindow = 2;
-// An entry may grow to this multiple of its recent peak.
+// An idle entry can start this many requests before it receives a larger
+// window.
+constexpr uint32_t kMinWindow = 2;
+// A window may grow to this multiple of the recent peak.
 constexpr uint32_t kHeadroom = 2;
-// Windows are planned again at most this often.
+// Minimum time between two plans.
 constexpr std::chrono::milliseconds kPlanInterval{5};
 
 }  // namespace
 
-WindowPlanner::WindowPlanner(uint32_t places, std::chrono::milliseconds period)
-    : places_(places), period_(period) {}
+WindowPlanner::WindowPlanner(uint32_t capacity,
+                             std::chrono::milliseconds period)
+    : capacity_(capacity), period_(period) {}
 
 auto WindowPlanner::AddEntry(const std::string& entry) -> void {
   demands_.try_emplace(entry);
@@ -30,7 +32,7 @@
 
 auto WindowPlanner::OnAccepted(TimePoint now, const std::string& entry)
     -> void {
-  Roll(now);
+  RollPeriod(now);
   Demand& demand = demands_[entry];
   ++demand.unanswered;
   demand.peak = std::max(demand.peak, demand.unanswered);
@@ -38,37 +40,37 @@
 
 auto WindowPlanner::OnFinished(TimePoint now, const std::string& entry)
     -> void {
-  Roll(now);
+  RollPeriod(now);
   Demand& demand = demands_[entry];
   demand.unanswered -= std::min(demand.unanswered, 1U);
 }
 
 auto WindowPlanner::Window(TimePoint now, const std::string& entry)
     -> uint32_t {
-  Roll(now);
-  if (now - planned_ >= kPlanInterval) {
-    planned_ = now;
+  RollPeriod(now);
+  if (now - planned_at_ >= kPlanInterval) {
+    planned_at_ = now;
     Plan();
   }
   const auto found = demands_.find(entry);
-  return found == demands_.end() ? kSmallestWindow : found->second.window;
+  return found == demands_.end() ? kMinWindow : found->second.window;
 }
 
-auto WindowPlanner::Roll(TimePoint now) -> void {
-  if (now - rolled_ < period_) {
+auto WindowPlanner::RollPeriod(TimePoint now) -> void {
+  if (now - period_start_ < period_) {
     return;
   }
-  rolled_ = now;
+  period_start_ = now;
   for (auto& [entry, demand] : demands_) {
-    demand.peak_before = demand.peak;
+    demand.previous_peak = demand.peak;
     demand.peak = demand.unanswered;
   }
 }
 
 auto WindowPlanner::Plan() -> void {
   const auto need = [](const Demand& demand) {
-    const uint32_t peak = std::max(demand.peak, demand.peak_before);
-    return std::max(kSmallestWindow, kHeadroom * peak);
+    const uint32_t peak = std::max(demand.peak, demand.previous_peak);
+    return std::max(kMinWindow, kHeadroom * peak);
   };
   std::vector<Demand*> by_need;
   by_need.reserve(demands_.size());
@@ -79,15 +81,15 @@
                    [&](const Demand* left, const Demand* right) {
                      return need(*left) < need(*right);
                    });
-  uint32_t left = places_;
-  auto sharers = static_cast<uint32_t>(by_need.size());
+  uint32_t left = capacity_;
+  auto remaining_entries = static_cast<uint32_t>(by_need.size());
   for (Demand* demand : by_need) {
-    const uint32_t share = left / sharers;
-    demand->window = std::max(kSmallestWindow, std::min(need(*demand), share));
+    const uint32_t share = left / remaining_entries;
+    demand->window = std::max(kMinWindow, std::min(need(*demand), share));
     left -= std::min(left, demand->window);
-    --sharers;
+    --remaining_entries;
   }
-  // What nobody asked for is spread, so that a burst finds room.
+  // Unclaimed capacity is divided equally, so that bursts can be admitted.
   for (Demand* demand : by_need) {
     demand->window += left / static_cast<uint32_t>(by_need.size());
   }
--- a/Source/Routing/window_planner.h
+++ b/Source/Routing/window_planner.h
@@ -9,12 +9,13 @@
 
 namespace rhubarbhaven {
 
-// Shares an agent's places between entries: how many unanswered attempts each
-// entry may have. Max-min fair by recent demand, so that idle entries do not
-// hold back busy ones and busy ones are equal.
+// Divides an agent's capacity between entries: each entry's window is the
+// number of unanswered attempts that it may have. The division is max-min fair
+// by recent demand, so that idle entries do not restrict busy ones and busy
+// ones get equal windows.
 class WindowPlanner {
  public:
-  WindowPlanner(uint32_t places, std::chrono::milliseconds period);
+  WindowPlanner(uint32_t capacity, std::chrono::milliseconds period);
 
   auto AddEntry(const std::string& entry) -> void;
   auto RemoveEntry(const std::string& entry) -> void;
@@ -25,19 +26,20 @@
  private:
   struct Demand {
     uint32_t unanswered = 0;
-    // Most unanswered at a time, in this period and the one before.
+    // Maximum number of unanswered attempts, in this period and in the previous
+    // one.
     uint32_t peak = 0;
-    uint32_t peak_before = 0;
+    uint32_t previous_peak = 0;
     uint32_t window = 0;
   };
 
-  auto Roll(TimePoint now) -> void;
+  auto RollPeriod(TimePoint now) -> void;
   auto Plan() -> void;
 
-  uint32_t places_;
+  uint32_t capacity_;
   std::chrono::milliseconds period_;
-  TimePoint rolled_;
-  TimePoint planned_;
+  TimePoint period_start_;
+  TimePoint planned_at_;
   std::map<std::string, Demand> demands_;
 };
 
--- a/Tests/Benchmarks/Routing/baseline_cluster.cc
+++ b/Tests/Benchmarks/Routing/baseline_cluster.cc
@@ -15,8 +15,8 @@
 constexpr int kSlowFactor = 10;
 constexpr microseconds kFailureTime{100};
 
-// Each endpoint as the times at which its slots become free; since requests
-// come in order, the first free slot takes the next one.
+// Models each endpoint as the times at which its slots become free. Requests
+// arrive in order, so each takes the slot that is free first.
 class BaselineCluster {
  public:
   BaselineCluster(Baseline policy, const Scenario& scenario, uint64_t seed)
@@ -26,7 +26,7 @@
     }
   }
 
-  auto Run(const std::vector<Arrival>& arrivals) -> Figures {
+  auto Run(const std::vector<Arrival>& arrivals) -> WorkloadSummary {
     for (const Arrival& arrival : arrivals) {
       Serve(arrival);
     }
@@ -38,31 +38,32 @@
     DropAnswered(arrival.at);
     const int endpoint = Choose(arrival.entry);
     const bool faulty = arrival.at >= kWarmUp && IsFaulty(endpoint);
-    const Duration way = arrival.entry % kDomains == endpoint % kDomains
-                             ? Duration(microseconds(200))
-                             : Duration(milliseconds(1));
+    const Duration network_delay =
+        arrival.entry % kDomains == endpoint % kDomains
+            ? Duration(microseconds(200))
+            : Duration(milliseconds(1));
     auto slot =
         std::min_element(free_at_[endpoint].begin(), free_at_[endpoint].end());
-    Duration takes = arrival.service;
+    Duration service_time = arrival.service;
     if (faulty && fault_ == Fault::kSlow) {
-      takes *= kSlowFactor;
+      service_time *= kSlowFactor;
     } else if (faulty && fault_ == Fault::kFailing) {
-      takes = kFailureTime;
+      service_time = kFailureTime;
     }
-    *slot = std::max(*slot, arrival.at + way) + takes;
-    const bool gone = faulty && fault_ == Fault::kDomainGone;
-    const Duration latency =
-        gone ? kDeadline + kDeadline : *slot + way - arrival.at;
+    *slot = std::max(*slot, arrival.at + network_delay) + service_time;
+    const bool unavailable = faulty && fault_ == Fault::kDomainDown;
+    const Duration latency = unavailable ? kDeadline + kDeadline
+                                         : *slot + network_delay - arrival.at;
     ++unanswered_[arrival.entry][endpoint];
     answers_.push({arrival.at + std::min<Duration>(latency, kDeadline),
                    {arrival.entry, endpoint}});
     if (arrival.at >= kWarmUp) {
-      Note(latency, faulty && fault_ == Fault::kFailing);
+      RecordOutcome(latency, faulty && fault_ == Fault::kFailing);
     }
   }
 
-  auto Note(Duration latency, bool failed) -> void {
-    ++outcomes_.asked;
+  auto RecordOutcome(Duration latency, bool failed) -> void {
+    ++outcomes_.submitted;
     ++outcomes_.sent;
     ++outcomes_.offers;
     if (latency > kDeadline) {
@@ -99,7 +100,7 @@
   }
 
   auto IsFaulty(int endpoint) const -> bool {
-    return fault_ == Fault::kDomainGone ? endpoint % kDomains == 0
+    return fault_ == Fault::kDomainDown ? endpoint % kDomains == 0
                                         : endpoint == 0;
   }
 
@@ -118,7 +119,7 @@
 }  // namespace
 
 auto RunBaseline(Baseline policy, const Scenario& scenario, uint64_t seed)
-    -> Figures {
+    -> WorkloadSummary {
   return BaselineCluster(policy, scenario, seed)
       .Run(MakeArrivals(scenario, seed));
 }
--- a/Tests/Benchmarks/Routing/baseline_cluster.h
+++ b/Tests/Benchmarks/Routing/baseline_cluster.h
@@ -5,12 +5,12 @@
 
 namespace rhubarbhaven {
 
-// Policies without admission: a request is sent at once and waits at the
-// endpoint, first come, first served.
+// Policies without admission control: a request is sent at once and is queued
+// at the endpoint in order of arrival.
 enum class Baseline { kRoundRobin, kRandom, kTwoChoices };
 
 auto RunBaseline(Baseline policy, const Scenario& scenario, uint64_t seed)
-    -> Figures;
+    -> WorkloadSummary;
 
 }  // namespace rhubarbhaven
 
--- a/Tests/Benchmarks/Routing/bench_requests.cc
+++ b/Tests/Benchmarks/Routing/bench_requests.cc
@@ -13,11 +13,11 @@
 
 constexpr uint64_t kSeed = 1;
 constexpr int kSlowFactor = 10;
-constexpr uint32_t kGood = 200;
-constexpr uint32_t kBad = 500;
+constexpr uint32_t kStatusOk = 200;
+constexpr uint32_t kStatusError = 500;
 constexpr microseconds kFailureTime{100};
 
-// The entries and agents of the product on the workload.
+// Runs the workload on the real entry and agent logic.
 class PolicyRun {
  public:
   PolicyRun(const Scenario& scenario, uint64_t seed)
@@ -43,10 +43,10 @@
     start_ = cluster_->now();
   }
 
-  auto Run() -> Figures {
+  auto Run() -> WorkloadSummary {
     Arrive(0);
     cluster_->RunFor(kWarmUp);
-    if (scenario_.fault == Fault::kDomainGone) {
+    if (scenario_.fault == Fault::kDomainDown) {
       for (int agent = 0; agent < kEndpoints; agent += kDomains) {
         cluster_->KillAgent(agent);
       }
@@ -63,12 +63,12 @@
       return;
     }
     cluster_->At(start_ + arrivals_[number].at, [this, number] {
-      Ask(number);
+      SendRequest(number);
       Arrive(number + 1);
     });
   }
 
-  auto Ask(std::size_t number) -> void {
+  auto SendRequest(std::size_t number) -> void {
     CallerRequest request;
     request.ticket = number + 1;
     request.request_id = std::to_string(number);
@@ -76,41 +76,42 @@
     request.service = kService;
     request.deadline = cluster_->now() + kDeadline;
     const bool measured = measuring();
-    outcomes_.asked += measured ? 1 : 0;
+    outcomes_.submitted += measured ? 1 : 0;
     cluster_->Submit(
         arrivals_[number].entry, request,
-        [=, this, asked = cluster_->now()](const CallerReply& reply) {
+        [=, this, submitted = cluster_->now()](const CallerReply& reply) {
           if (measured) {
-            Note(cluster_->now() - asked, reply);
+            RecordOutcome(cluster_->now() - submitted, reply);
           }
         });
   }
 
-  auto Note(Duration latency, const CallerReply& reply) -> void {
+  auto RecordOutcome(Duration latency, const CallerReply& reply) -> void {
     outcomes_.sent += reply.attempts > 0 ? 1 : 0;
     if (reply.verdict == schema::NOT_RUN) {
-      ++outcomes_.refused;
+      ++outcomes_.rejected;
     } else if (reply.verdict == schema::MAY_HAVE_RUN) {
       ++outcomes_.may_have_run;
-    } else if (reply.http.status() != kGood) {
+    } else if (reply.http.status() != kStatusOk) {
       ++outcomes_.failed;
     } else {
       outcomes_.latencies.push_back(latency);
     }
   }
 
-  auto Serve(int agent, std::size_t number) -> Served {
-    Served served{.takes = arrivals_[number].service, .status = kGood};
+  auto Serve(int agent, std::size_t number) -> EndpointResponse {
+    EndpointResponse response{.response_time = arrivals_[number].service,
+                              .status = kStatusOk};
     if (agent != 0 || !measuring()) {
-      return served;
+      return response;
     }
     if (scenario_.fault == Fault::kSlow) {
-      served.takes *= kSlowFactor;
+      response.response_time *= kSlowFactor;
     } else if (scenario_.fault == Fault::kFailing) {
-      served.takes = kFailureTime;
-      served.status = kBad;
+      response.response_time = kFailureTime;
+      response.status = kStatusError;
     }
-    return served;
+    return response;
   }
 
   Scenario scenario_;
@@ -122,24 +123,25 @@
 
 struct Row {
   Scenario scenario;
-  Figures ours;
-  std::array<Figures, 3> baselines;
+  WorkloadSummary product;
+  std::array<WorkloadSummary, 3> baselines;
 };
 
-auto Print(const Scenario& scenario, const char* policy, const Figures& row)
-    -> void {
+auto Print(const Scenario& scenario,
+           const char* policy,
+           const WorkloadSummary& row) -> void {
   std::printf(
       "%-12s %5.2f  %-12s %8.1f %8.1f %8.1f %8.3f %7.3f%% %7.3f%% %7.3f%% "
       "%6.3f\n",
       scenario.name.c_str(), scenario.load, policy, row.p50_ms, row.p99_ms,
-      row.p999_ms, row.goodput, 100 * row.failed, 100 * row.refused,
+      row.p999_ms, row.goodput, 100 * row.failed, 100 * row.rejected,
       100 * row.may_have_run, row.amplification);
 }
 
 auto RunRow(const Scenario& scenario) -> Row {
-  Row row{.scenario = scenario, .ours = {}, .baselines = {}};
-  row.ours = PolicyRun(scenario, kSeed).Run();
-  Print(scenario, "rhubarbhaven", row.ours);
+  Row row{.scenario = scenario, .product = {}, .baselines = {}};
+  row.product = PolicyRun(scenario, kSeed).Run();
+  Print(scenario, "rhubarbhaven", row.product);
   constexpr std::array kNames{"round robin", "random", "two choices"};
   for (std::size_t policy = 0; policy < kNames.size(); ++policy) {
     row.baselines[policy] =
@@ -173,8 +175,8 @@
   bool missed_ = false;
 };
 
-// Bytes that an agent sends each entry to announce itself, with names and
-// numbers of real length.
+// Size in bytes of the announcement that an agent sends to each entry, with
+// names and numbers of realistic length.
 auto AnnounceBytes() -> double {
   AdmissionOptions options;
   options.agent_id = "agent-diamniadio-11";
@@ -199,30 +201,32 @@
   Bounds bounds;
   double peak = 0;
   for (const Row& row : rows) {
-    peak = std::max(peak, row.ours.goodput);
+    peak = std::max(peak, row.product.goodput);
     const std::string name = row.scenario.name + " " +
                              std::to_string(row.scenario.load).substr(0, 4);
-    bounds.AtMost(name + ": amplification", row.ours.amplification, 1.1);
-    bounds.AtMost(name + ": may have run", row.ours.may_have_run, 0.002);
+    bounds.AtMost(name + ": amplification", row.product.amplification, 1.1);
+    bounds.AtMost(name + ": may have run", row.product.may_have_run, 0.002);
     if (row.scenario.load < 1) {
-      bounds.AtLeast(name + ": answered", row.ours.answered, 0.995);
+      bounds.AtLeast(name + ": answered", row.product.answered, 0.995);
     }
-    for (const Figures& baseline : row.baselines) {
-      // A policy that loses requests is not slow in them.
+    for (const WorkloadSummary& baseline : row.baselines) {
+      // The latency of a policy that loses requests is not comparable.
       if (baseline.answered > 0.995) {
         bounds.AtMost(name + ": p99 to a baseline's",
-                      row.ours.p99_ms / baseline.p99_ms, 1.1);
+                      row.product.p99_ms / baseline.p99_ms, 1.1);
       }
     }
     if (row.scenario.fault == Fault::kSlow) {
-      // Without a window of its own, the slow endpoint's queue shows here.
-      bounds.AtMost(name + ": p99.9 ms", row.ours.p999_ms, 300);
+      // Without a smaller window for the slow endpoint, its queue would
+      // dominate this value.
+      bounds.AtMost(name + ": p99.9 ms", row.product.p999_ms, 300);
     }
     if (row.scenario.fault == Fault::kFailing) {
-      bounds.AtMost(name + ": failed", row.ours.failed, 0.005);
+      bounds.AtMost(name + ": failed", row.product.failed, 0.005);
     }
     if (row.scenario.load >= 10) {
-      bounds.AtLeast(name + ": goodput to peak", row.ours.goodput / peak, 0.95);
+      bounds.AtLeast(name + ": goodput to peak", row.product.goodput / peak,
+                     0.95);
     }
   }
   const double announces_per_s = 4 * kEntries;
@@ -245,7 +249,7 @@
                              {"one slow", 0.7, Fault::kSlow},
                              {"one slow", 0.88, Fault::kSlow},
                              {"one failing", 0.7, Fault::kFailing},
-                             {"domain gone", 0.5, Fault::kDomainGone}}) {
+                             {"domain gone", 0.5, Fault::kDomainDown}}) {
     rows.push_back(RunRow(scenario));
   }
   std::printf("announcement: %.0f bytes\n", AnnounceBytes());
--- a/Tests/Benchmarks/Routing/bench_router.cc
+++ b/Tests/Benchmarks/Routing/bench_router.cc
@@ -9,10 +9,11 @@
 namespace {
 
 constexpr int kDecisions = 20000;
-// A decision among 1,000 endpoints may cost this much more than among 11.
-constexpr double kMostRatio = 4;
+// A decision among 1,000 endpoints may take this many times as long as one
+// among 11.
+constexpr double kMaxRatio = 4;
 
-// One entry with endpoints that never run out of credits.
+// One entry, with endpoints whose credits do not run out.
 class RouterLoad {
  public:
   explicit RouterLoad(int endpoints) : router_({}) {
@@ -36,7 +37,7 @@
     }
   }
 
-  // A request and its answer.
+  // Routes a request and handles its answer.
   auto Decide() -> void {
     CallerRequest request;
     request.ticket = ++ticket_;
@@ -83,7 +84,7 @@
   return took.count() / kDecisions;
 }
 
-// The least of several runs, which other load on the machine disturbs least.
+// The minimum of several runs is least affected by other load on the machine.
 auto BestTimeOf(int endpoints) -> double {
   double best = TimeOf(endpoints);
   for (int run = 0; run < 4; ++run) {
@@ -100,8 +101,8 @@
   benchmark::RunSpecifiedBenchmarks();
   const double ratio =
       rhubarbhaven::BestTimeOf(1000) / rhubarbhaven::BestTimeOf(11);
-  const bool met = ratio <= rhubarbhaven::kMostRatio;
+  const bool met = ratio <= rhubarbhaven::kMaxRatio;
   std::printf("%s decision at 1000 to 11 endpoints: %.2f <= %.2f\n",
-              met ? "ok" : "MISSED", ratio, rhubarbhaven::kMostRatio);
+              met ? "ok" : "MISSED", ratio, rhubarbhaven::kMaxRatio);
   return met ? 0 : 1;
 }
--- a/Tests/Benchmarks/Routing/request_workload.cc
+++ b/Tests/Benchmarks/Routing/request_workload.cc
@@ -37,12 +37,12 @@
   return arrivals;
 }
 
-auto Summarize(Outcomes outcomes) -> Figures {
+auto Summarize(Outcomes outcomes) -> WorkloadSummary {
   std::sort(outcomes.latencies.begin(), outcomes.latencies.end());
   const auto share = [&](int count) {
-    return static_cast<double>(count) / std::max(1, outcomes.asked);
+    return static_cast<double>(count) / std::max(1, outcomes.submitted);
   };
-  Figures figures;
+  WorkloadSummary figures;
   figures.p50_ms = Quantile(outcomes.latencies, 0.5);
   figures.p99_ms = Quantile(outcomes.latencies, 0.99);
   figures.p999_ms = Quantile(outcomes.latencies, 0.999);
@@ -51,7 +51,7 @@
                     kCapacity;
   figures.answered = share(static_cast<int>(outcomes.latencies.size()));
   figures.failed = share(outcomes.failed);
-  figures.refused = share(outcomes.refused);
+  figures.rejected = share(outcomes.rejected);
   figures.may_have_run = share(outcomes.may_have_run);
   figures.amplification =
       static_cast<double>(outcomes.offers) / std::max(1, outcomes.sent);
--- a/Tests/Daemon/adapters_test.cc
+++ b/Tests/Daemon/adapters_test.cc
@@ -80,7 +80,7 @@
   http.path = "/call/a/other/c";
   const auto other = std::get<CallerRequest>(Parse(http));
   EXPECT_FALSE(one.repeatable);
-  EXPECT_NE(one.once_key, other.once_key);
+  EXPECT_NE(one.idempotency_key, other.idempotency_key);
 }
 
 TEST(CallerApiTest, PathQueryAndHeadersArePassedOn) {
--- a/Tests/Routing/announce_test.cc
+++ b/Tests/Routing/announce_test.cc
@@ -37,19 +37,19 @@
   AgentAdmission agent_;
 };
 
-// Symptom: for up to one announcement interval after an agent's start, the
-// entry refuses every request with no_endpoint while its status shows the
-// endpoint as ready. Sequence: the agent's thread ticks before the agent's
-// identity reaches it. Cause: it announced an endpoint of no service, which
-// the entry filed under the empty service name.
+// Guards against announcements without an identity. An agent whose thread
+// ticked before its identity was set announced an endpoint of no service, which
+// the entry listed under an empty service name. For up to one announcement
+// interval, every request was rejected with no_endpoint although the endpoint's
+// status was "ready".
 TEST_F(AnnounceTest, NothingIsAnnouncedWithoutAnIdentity) {
   EXPECT_TRUE(Announcements(agent_.SetEntries(kStart, {"entry-0"})).empty());
   EXPECT_TRUE(Announcements(agent_.OnTick(kStart)).empty());
   EXPECT_TRUE(Announcements(agent_.SetEndpointHealthy(kStart, false)).empty());
 }
 
-// Symptom, sequence and cause as above; waiting for the next interval would
-// leave the same gap in service.
+// Guards against the same failure: waiting for the next interval would leave
+// the service without an endpoint for as long.
 TEST_F(AnnounceTest, AnIdentityIsAnnouncedAtOnce) {
   agent_.SetEntries(kStart, {"entry-0"});
   agent_.OnTick(kStart);
--- a/Tests/Routing/explorer_test.cc
+++ b/Tests/Routing/explorer_test.cc
@@ -17,8 +17,8 @@
 constexpr milliseconds kFaultTime{4000};
 constexpr milliseconds kSettleTime{4000};
 
-// One run of a small cluster under random faults, which checks what must hold
-// after every event.
+// Runs a small cluster under random faults and checks invariants after every
+// event.
 class Exploration {
  public:
   explicit Exploration(uint64_t seed) : random_(seed) {
@@ -29,8 +29,12 @@
     options.seed = seed;
     options.admission.slots = 2;
     options.network = [this](const std::string&, const std::string&,
-                             const schema::Envelope&) { return Network(); };
-    options.endpoint = [this](int, const CallEndpoint&) { return Endpoint(); };
+                             const schema::Envelope&) {
+      return MakeDelivery();
+    };
+    options.endpoint = [this](int, const CallEndpoint&) {
+      return MakeResponse();
+    };
     options.on_run = [this](int, const CallEndpoint& call) { OnRun(call); };
     options.append_twice = [this] { return Chance(0.1); };
     cluster_ = std::make_unique<FakeCluster>(options);
@@ -38,13 +42,14 @@
 
   auto Run() -> void {
     for (int number = 0; number < kOperations; ++number) {
-      const bool once = Chance(0.6);
-      cluster_->After(milliseconds(random_() % kFaultTime.count()),
-                      [this, number, once] { Submit(number, once, 0); });
+      const bool idempotent = Chance(0.6);
+      cluster_->After(
+          milliseconds(random_() % kFaultTime.count()),
+          [this, number, idempotent] { Submit(number, idempotent, 0); });
     }
-    cluster_->After(milliseconds(300), [this] { Fault(); });
+    cluster_->After(milliseconds(300), [this] { InjectFault(); });
     cluster_->RunFor(kFaultTime);
-    Heal();
+    RepairFaults();
     cluster_->RunFor(kSettleTime);
     for (const auto& [name, submission] : submissions_) {
       if (submission.replies == 0 && !killed_.contains(submission.entry)) {
@@ -72,9 +77,9 @@
     return std::uniform_real_distribution<>()(random_) < share;
   }
 
-  auto Network() -> Delivery {
+  auto MakeDelivery() -> Delivery {
     Delivery delivery;
-    if (healed_) {
+    if (faults_stopped_) {
       return delivery;
     }
     if (Chance(loss_)) {
@@ -90,20 +95,20 @@
     return delivery;
   }
 
-  auto Endpoint() -> Served {
-    Served served;
+  auto MakeResponse() -> EndpointResponse {
+    EndpointResponse response;
     const int longest = Chance(0.05) ? 800 : 20;
-    served.takes = milliseconds(1 + random_() % longest);
+    response.response_time = milliseconds(1 + random_() % longest);
     if (Chance(0.05)) {
-      served.verdict = schema::MAY_HAVE_RUN;
-      served.reason = schema::ENDPOINT_CONNECTION_LOST;
+      response.verdict = schema::MAY_HAVE_RUN;
+      response.reason = schema::ENDPOINT_CONNECTION_LOST;
     }
-    return served;
+    return response;
   }
 
-  // Submits the operation; if it may not be repeated otherwise, its caller
-  // repeats it by its key through any entry.
-  auto Submit(int number, bool once, int repeat) -> void {
+  // Submits the operation. The caller of a non-repeatable operation repeats it
+  // with the same key through any entry.
+  auto Submit(int number, bool idempotent, int repeat) -> void {
     const int entry = static_cast<int>(random_() % kEntries);
     const std::string name = absl::StrCat(number, "/", repeat);
     CallerRequest request;
@@ -111,10 +116,10 @@
     request.request_id = name;
     request.partner = kPartner;
     request.service = kService;
-    request.repeatable = !once;
-    request.once_key = once ? absl::StrCat("key-", number) : "";
+    request.repeatable = !idempotent;
+    request.idempotency_key = idempotent ? absl::StrCat("key-", number) : "";
     request.deadline = cluster_->now() + milliseconds(50 + random_() % 900);
-    submissions_[name].entry = {entry, lives_[entry]};
+    submissions_[name].entry = {entry, incarnations_[entry]};
     if (down_entries_.contains(entry)) {
       killed_.insert(submissions_[name].entry);
     }
@@ -123,29 +128,29 @@
     });
     if (Chance(0.05)) {
       killed_.insert(submissions_[name].entry);
-      cluster_->CallerGone(entry, request.ticket);
+      cluster_->DisconnectCaller(entry, request.ticket);
     }
-    if (once && repeat < 3) {
+    if (idempotent && repeat < 3) {
       cluster_->After(milliseconds(random_() % 1500),
-                      [=, this] { Submit(number, once, repeat + 1); });
+                      [=, this] { Submit(number, idempotent, repeat + 1); });
     }
   }
 
   auto OnRun(const CallEndpoint& call) -> void {
-    Mix(call.request_id);
+    AddToTrace(call.request_id);
     Submission& submission = submissions_[call.request_id];
     ++submission.runs;
     if (submission.verdict == schema::NOT_RUN) {
       Fail("ran after not_run: ", call.request_id);
     }
     if (!call.repeatable &&
-        !ran_once_.insert(Operation(call.request_id)).second) {
+        !run_operations_.insert(Operation(call.request_id)).second) {
       Fail("ran twice: ", call.request_id);
     }
   }
 
   auto OnReply(const std::string& name, const CallerReply& reply) -> void {
-    Mix(absl::StrCat(name, "=", reply.verdict, reply.reason));
+    AddToTrace(absl::StrCat(name, "=", reply.verdict, reply.reason));
     Submission& submission = submissions_[name];
     ++submission.replies;
     submission.verdict = reply.verdict;
@@ -170,7 +175,7 @@
     return name.substr(0, name.find('/'));
   }
 
-  auto Fault() -> void {
+  auto InjectFault() -> void {
     const int agent = static_cast<int>(random_() % kAgents);
     const int entry = static_cast<int>(random_() % kEntries);
     const milliseconds pause(random_() % 1800);
@@ -203,8 +208,9 @@
       default:
         break;
     }
-    if (!healed_) {
-      cluster_->After(milliseconds(50 + random_() % 400), [this] { Fault(); });
+    if (!faults_stopped_) {
+      cluster_->After(milliseconds(50 + random_() % 400),
+                      [this] { InjectFault(); });
     }
   }
 
@@ -212,17 +218,17 @@
     if (!down_entries_.insert(entry).second) {
       return;
     }
-    killed_.insert({entry, lives_[entry]});
+    killed_.insert({entry, incarnations_[entry]});
     cluster_->KillEntry(entry);
     cluster_->After(pause, [=, this] {
-      ++lives_[entry];
+      ++incarnations_[entry];
       down_entries_.erase(entry);
       cluster_->StartEntry(entry);
     });
   }
 
-  auto Heal() -> void {
-    healed_ = true;
+  auto RepairFaults() -> void {
+    faults_stopped_ = true;
     cluster_->After(milliseconds(2000), [this] { cluster_->SetLogUp(true); });
   }
 
@@ -231,7 +237,7 @@
     failures_.push_back(absl::StrCat(parts...));
   }
 
-  auto Mix(const std::string& event) -> void {
+  auto AddToTrace(const std::string& event) -> void {
     trace_ = StableHash(event, trace_) +
              static_cast<uint64_t>(cluster_->now().time_since_epoch().count());
   }
@@ -239,24 +245,25 @@
   std::mt19937_64 random_;
   std::unique_ptr<FakeCluster> cluster_;
   double loss_ = 0.01;
-  bool healed_ = false;
+  bool faults_stopped_ = false;
   uint64_t last_ticket_ = 0;
   uint64_t trace_ = 0;
   std::map<std::string, Submission> submissions_;
-  std::set<std::string> ran_once_;
-  std::map<int, int> lives_;
+  std::set<std::string> run_operations_;
+  std::map<int, int> incarnations_;
   std::set<int> down_entries_;
-  // Entries, and which life of each, whose callers may hear nothing.
+  // Entries and their incarnations whose callers may receive no reply.
   std::set<std::pair<int, int>> killed_;
   std::map<schema::Verdict, int> verdicts_;
   std::vector<std::string> failures_;
 };
 
-// Symptom: a top-up runs twice, a refused request runs later, or a caller gets
-// another's answer. Sequence: messages are lost, doubled and overtaken while
-// processes stop, die and come back and the log is down. Cause: any decision
-// that takes silence for proof.
-TEST(ExplorerTest, WhatMustHoldHoldsUnderRandomFaults) {
+// Guards against decisions that treat a missing reply as proof. Messages are
+// lost, duplicated and reordered while processes are suspended, killed and
+// restarted and the log is unavailable. A non-repeatable request must not run
+// twice, a rejected request must not run later, and no caller may receive
+// another caller's answer.
+TEST(ExplorerTest, InvariantsHoldUnderRandomFaults) {
   std::map<schema::Verdict, int> verdicts;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Exploration exploration(seed);
@@ -269,7 +276,7 @@
       verdicts[verdict] += exploration.count(verdict);
     }
   }
-  // Refusing everything would hold trivially.
+  // Rejecting everything would satisfy the invariants trivially.
   EXPECT_GT(verdicts[schema::ANSWERED], verdicts[schema::NOT_RUN]);
   EXPECT_LT(verdicts[schema::MAY_HAVE_RUN], verdicts[schema::ANSWERED] / 5);
   RecordProperty("answered", verdicts[schema::ANSWERED]);
@@ -280,7 +287,7 @@
             << " may_have_run=" << verdicts[schema::MAY_HAVE_RUN] << "\n";
 }
 
-TEST(ExplorerTest, SameSeedTakesTheSameCourse) {
+TEST(ExplorerTest, SameSeedGivesTheSameTrace) {
   Exploration first(7);
   Exploration second(7);
   Exploration other(8);
--- a/Tests/Routing/fake_cluster.cc
+++ b/Tests/Routing/fake_cluster.cc
@@ -55,14 +55,14 @@
                          const OnReply& on_reply) -> void {
   Deliver(entries_[entry], [this, entry, request, on_reply] {
     callers_[{entries_[entry].incarnation, request.ticket}] = on_reply;
-    Perform(entry, entries_[entry].decides->OnRequest(now_, request));
+    Execute(entry, entries_[entry].logic->OnRequest(now_, request));
   });
 }
 
-auto FakeCluster::CallerGone(int entry, uint64_t ticket) -> void {
+auto FakeCluster::DisconnectCaller(int entry, uint64_t ticket) -> void {
   Deliver(entries_[entry], [this, entry, ticket] {
     callers_.erase({entries_[entry].incarnation, ticket});
-    Perform(entry, entries_[entry].decides->OnCallerGone(now_, ticket));
+    Execute(entry, entries_[entry].logic->OnCallerDisconnected(now_, ticket));
   });
 }
 
@@ -82,16 +82,16 @@
   options.failure_domain =
       absl::StrCat("domain-", entry % options_.failure_domains);
   options.seed = options_.seed * 1000 + process.incarnation;
-  process.decides = std::make_unique<EntryRouter>(options);
+  process.logic = std::make_unique<EntryRouter>(options);
   ConfigureEntry(entry);
   if (log_up_) {
     ReadLog(entry);
-    Perform(entry, process.decides->OnOnceStream(now_, true));
+    Execute(entry, process.logic->OnIdempotencyStream(now_, true));
   }
 }
 
 auto FakeCluster::ConfigureEntry(int entry) -> void {
-  Perform(entry, entries_[entry].decides->SetServices(now_, services_));
+  Execute(entry, entries_[entry].logic->SetServices(now_, services_));
 }
 
 auto FakeCluster::KillAgent(int agent) -> void {
@@ -105,26 +105,25 @@
   AdmissionOptions options = options_.admission;
   options.agent_id = AgentName(agent);
   options.incarnation = process.incarnation;
-  process.decides = std::make_unique<AgentAdmission>(options);
+  process.logic = std::make_unique<AgentAdmission>(options);
   schema::Announce identity;
   identity.set_instance(absl::StrCat("instance-", agent));
   identity.set_partner(kPartner);
   identity.set_service(kService);
   identity.set_failure_domain(
       absl::StrCat("domain-", agent % options_.failure_domains));
-  process.decides->SetIdentity(identity);
+  process.logic->SetIdentity(identity);
   std::vector<std::string> names;
   names.reserve(options_.entries);
   for (int entry = 0; entry < options_.entries; ++entry) {
     names.push_back(EntryName(entry));
   }
-  Perform(agent, process.decides->SetEntries(now_, names));
+  Execute(agent, process.logic->SetEntries(now_, names));
 }
 
 auto FakeCluster::Leave(int agent) -> void {
-  Deliver(agents_[agent], [this, agent] {
-    Perform(agent, agents_[agent].decides->Leave(now_));
-  });
+  Deliver(agents_[agent],
+          [this, agent] { Execute(agent, agents_[agent].logic->Leave(now_)); });
 }
 
 auto FakeCluster::SetLogUp(bool up) -> void {
@@ -132,15 +131,15 @@
   for (int entry = 0; entry < options_.entries; ++entry) {
     Deliver(entries_[entry], [this, entry, up] {
       ReadLog(entry);
-      Perform(entry, entries_[entry].decides->OnOnceStream(now_, up));
+      Execute(entry, entries_[entry].logic->OnIdempotencyStream(now_, up));
     });
   }
 }
 
-template <typename Decides>
-auto FakeCluster::Deliver(Process<Decides>& process,
+template <typename Logic>
+auto FakeCluster::Deliver(Process<Logic>& process,
                           std::function<auto()->void> what) -> void {
-  if (process.decides == nullptr) {
+  if (process.logic == nullptr) {
     return;
   }
   if (process.stopped) {
@@ -150,8 +149,8 @@
   what();
 }
 
-template <typename Decides>
-auto FakeCluster::Continue(Process<Decides>& process) -> void {
+template <typename Logic>
+auto FakeCluster::Continue(Process<Logic>& process) -> void {
   process.stopped = false;
   for (const auto& what : std::exchange(process.inbox, {})) {
     Deliver(process, what);
@@ -166,9 +165,10 @@
   Continue(agents_[agent]);
 }
 
-template <typename Decides, typename OnTicked>
-auto FakeCluster::Wake(Process<Decides>& process, OnTicked perform) -> void {
-  const TimePoint next = process.decides->next_wake();
+template <typename Logic, typename OnTicked>
+auto FakeCluster::ScheduleTick(Process<Logic>& process, OnTicked perform)
+    -> void {
+  const TimePoint next = process.logic->next_wake();
   if (next >= process.wake) {
     return;
   }
@@ -180,12 +180,12 @@
     }
     Deliver(process, [this, &process, perform] {
       process.wake = TimePoint::max();
-      perform(process.decides->OnTick(now_));
+      perform(process.logic->OnTick(now_));
     });
   });
 }
 
-auto FakeCluster::Perform(int entry, RouterActions actions) -> void {
+auto FakeCluster::Execute(int entry, RouterActions actions) -> void {
   const uint64_t incarnation = entries_[entry].incarnation;
   for (RouterAction& action : actions) {
     if (auto* reply = std::get_if<CallerReply>(&action)) {
@@ -199,27 +199,28 @@
           EntryName(entry), send->agent, Delay(entry, agent), send->message,
           [this, entry, agent](const schema::Envelope& message) {
             Deliver(agents_[agent], [this, entry, agent, message] {
-              Perform(agent, agents_[agent].decides->OnMessage(
+              Execute(agent, agents_[agent].logic->OnMessage(
                                  now_, EntryName(entry), message));
             });
           },
           [this, entry, agent](const schema::Envelope& message) {
             Deliver(entries_[entry], [this, entry, agent, message] {
-              Perform(entry, entries_[entry].decides->OnUnsent(
+              Execute(entry, entries_[entry].logic->OnUnsent(
                                  now_, AgentName(agent), message));
             });
           });
-    } else if (auto* append = std::get_if<AppendOnce>(&action)) {
+    } else if (auto* append = std::get_if<AppendIdempotencyEntry>(&action)) {
       Append(entry, append->entry);
     } else if (options_.on_count) {
       options_.on_count(std::get<CountReason>(action));
     }
   }
-  Wake(entries_[entry],
-       [this, entry](RouterActions more) { Perform(entry, std::move(more)); });
+  ScheduleTick(entries_[entry], [this, entry](RouterActions more) {
+    Execute(entry, std::move(more));
+  });
 }
 
-auto FakeCluster::Perform(int agent, AdmissionActions actions) -> void {
+auto FakeCluster::Execute(int agent, AdmissionActions actions) -> void {
   for (AdmissionAction& action : actions) {
     if (auto* call = std::get_if<CallEndpoint>(&action)) {
       Call(agent, *call);
@@ -229,17 +230,17 @@
           AgentName(agent), send->entry, Delay(entry, agent), send->message,
           [this, entry, agent](const schema::Envelope& message) {
             Deliver(entries_[entry], [this, entry, agent, message] {
-              Perform(entry, entries_[entry].decides->OnMessage(
+              Execute(entry, entries_[entry].logic->OnMessage(
                                  now_, AgentName(agent), message));
             });
           },
           nullptr);
     } else if (options_.on_agent_count) {
-      options_.on_agent_count(std::get<CountRefusal>(action).reason);
+      options_.on_agent_count(std::get<CountRejection>(action).reason);
     }
   }
-  Wake(agents_[agent], [this, agent](AdmissionActions more) {
-    Perform(agent, std::move(more));
+  ScheduleTick(agents_[agent], [this, agent](AdmissionActions more) {
+    Execute(agent, std::move(more));
   });
 }
 
@@ -274,8 +275,7 @@
     After(options_.log_delay, [this, entry, incarnation, appended] {
       if (entries_[entry].incarnation == incarnation) {
         Deliver(entries_[entry], [this, entry, appended] {
-          Perform(entry,
-                  entries_[entry].decides->OnAppendFailed(now_, appended));
+          Execute(entry, entries_[entry].logic->OnAppendFailed(now_, appended));
         });
       }
     });
@@ -307,8 +307,8 @@
 auto FakeCluster::ReadLog(int entry) -> void {
   while (log_up_ && read_[entry] < log_.size()) {
     const schema::LogRecord& record = log_[read_[entry]++];
-    Perform(entry,
-            entries_[entry].decides->OnOnceRecord(now_, read_[entry], record));
+    Execute(entry, entries_[entry].logic->OnIdempotencyRecord(
+                       now_, read_[entry], record));
   }
 }
 
@@ -316,23 +316,23 @@
   if (options_.on_run) {
     options_.on_run(agent, call);
   }
-  const Served served =
-      options_.endpoint ? options_.endpoint(agent, call) : Served();
+  const EndpointResponse response =
+      options_.endpoint ? options_.endpoint(agent, call) : EndpointResponse();
   const uint64_t incarnation = agents_[agent].incarnation;
   EndpointOutcome outcome;
   outcome.attempt_id = call.attempt_id;
-  outcome.verdict = served.verdict;
-  outcome.reason = served.reason;
-  outcome.service_time =
-      std::chrono::duration_cast<std::chrono::microseconds>(served.takes);
-  outcome.http.set_status(served.status);
+  outcome.verdict = response.verdict;
+  outcome.reason = response.reason;
+  outcome.service_time = std::chrono::duration_cast<std::chrono::microseconds>(
+      response.response_time);
+  outcome.http.set_status(response.status);
   outcome.http.set_body(call.request_id);
-  After(served.takes, [this, agent, incarnation, outcome] {
+  After(response.response_time, [this, agent, incarnation, outcome] {
     if (agents_[agent].incarnation != incarnation) {
       return;
     }
     Deliver(agents_[agent], [this, agent, outcome] {
-      Perform(agent, agents_[agent].decides->OnEndpointAnswer(now_, outcome));
+      Execute(agent, agents_[agent].logic->OnEndpointAnswer(now_, outcome));
     });
   });
 }
--- a/Tests/Routing/fake_cluster.h
+++ b/Tests/Routing/fake_cluster.h
@@ -18,16 +18,16 @@
 inline constexpr char kPartner[] = "coop";
 inline constexpr char kService[] = "results";
 
-// What becomes of one message on its way.
+// How one message is delivered.
 struct Delivery {
   int copies = 1;
   Duration extra_delay{0};
   bool unsent = false;
 };
 
-// What an endpoint does with one call.
-struct Served {
-  Duration takes = std::chrono::milliseconds(10);
+// How an endpoint responds to one call.
+struct EndpointResponse {
+  Duration response_time = std::chrono::milliseconds(10);
   schema::Verdict verdict = schema::ANSWERED;
   schema::Reason reason = schema::REASON_NONE;
   uint32_t status = 200;
@@ -43,23 +43,26 @@
   Duration log_delay = std::chrono::milliseconds(5);
   RouterOptions router;
   AdmissionOptions admission;
-  // Stands for the network between processes.
+  // Simulates the network between processes.
   std::function<auto(const std::string& from,
                      const std::string& to,
                      const schema::Envelope&)
                     ->Delivery>
       network;
-  std::function<auto(int agent, const CallEndpoint&)->Served> endpoint;
-  // Each start of a request at an endpoint.
+  std::function<auto(int agent, const CallEndpoint&)->EndpointResponse>
+      endpoint;
+  // Called for each start of a request at an endpoint.
   std::function<auto(int agent, const CallEndpoint&)->void> on_run;
   std::function<auto(const CountReason&)->void> on_count;
   std::function<auto(schema::Reason)->void> on_agent_count;
-  // True if an append's record comes into the log a second time, later.
+  // Returns true if the record of an append is added to the log a second time,
+  // later.
   std::function<auto()->bool> append_twice;
 };
 
-// Entries and agents on a network in virtual time, with a log. Stopped
-// processes keep what arrives; killed ones lose it.
+// Entries and agents on a simulated network in virtual time, with a log.
+// Messages to suspended processes are queued; messages to killed processes are
+// lost.
 class FakeCluster {
  public:
   using OnReply = std::function<auto(const CallerReply&)->void>;
@@ -71,10 +74,10 @@
   auto After(Duration delay, std::function<auto()->void> what) -> void;
   auto RunFor(Duration time) -> void;
 
-  // Gives the request to the entry; a killed entry never replies.
+  // Submits the request to the entry; a killed entry never replies.
   auto Submit(int entry, const CallerRequest& request, const OnReply& on_reply)
       -> void;
-  auto CallerGone(int entry, uint64_t ticket) -> void;
+  auto DisconnectCaller(int entry, uint64_t ticket) -> void;
 
   auto StopEntry(int entry) -> void { entries_[entry].Stop(); }
   auto ContinueEntry(int entry) -> void;
@@ -87,8 +90,8 @@
   auto Leave(int agent) -> void;
   auto SetLogUp(bool up) -> void;
 
-  auto router(int entry) -> EntryRouter& { return *entries_[entry].decides; }
-  auto agent(int agent) -> AgentAdmission& { return *agents_[agent].decides; }
+  auto router(int entry) -> EntryRouter& { return *entries_[entry].logic; }
+  auto agent(int agent) -> AgentAdmission& { return *agents_[agent].logic; }
   auto appends() const -> uint64_t { return log_.size(); }
   auto ConfigureEntry(int entry) -> void;
   auto services() -> std::vector<schema::VersionedObject>& { return services_; }
@@ -97,15 +100,15 @@
   static auto AgentName(int agent) -> std::string;
 
  private:
-  template <typename Decides>
+  template <typename Logic>
   struct Process {
-    std::unique_ptr<Decides> decides;
+    std::unique_ptr<Logic> logic;
     uint64_t incarnation = 0;
     bool stopped = false;
     TimePoint wake = TimePoint::max();
     std::deque<std::function<auto()->void>> inbox;
 
-    auto Stop() -> void { stopped = decides != nullptr; }
+    auto Stop() -> void { stopped = logic != nullptr; }
   };
   struct Event {
     TimePoint time;
@@ -116,15 +119,15 @@
     }
   };
 
-  template <typename Decides>
-  auto Deliver(Process<Decides>& process, std::function<auto()->void> what)
+  template <typename Logic>
+  auto Deliver(Process<Logic>& process, std::function<auto()->void> what)
       -> void;
-  template <typename Decides>
-  auto Continue(Process<Decides>& process) -> void;
-  template <typename Decides, typename OnTicked>
-  auto Wake(Process<Decides>& process, OnTicked perform) -> void;
-  auto Perform(int entry, RouterActions actions) -> void;
-  auto Perform(int agent, AdmissionActions actions) -> void;
+  template <typename Logic>
+  auto Continue(Process<Logic>& process) -> void;
+  template <typename Logic, typename OnTicked>
+  auto ScheduleTick(Process<Logic>& process, OnTicked perform) -> void;
+  auto Execute(int entry, RouterActions actions) -> void;
+  auto Execute(int agent, AdmissionActions actions) -> void;
   auto Post(const std::string& from,
             const std::string& to,
             Duration delay,
@@ -149,7 +152,7 @@
   bool log_up_ = true;
   std::vector<schema::LogRecord> log_;
   std::map<int, uint64_t> sequences_;
-  // Records that each entry has read.
+  // Number of records that each entry has read.
   std::map<int, std::size_t> read_;
   // By entry's incarnation and ticket.
   std::map<std::pair<uint64_t, uint64_t>, OnReply> callers_;
--- a/Tests/Routing/input_test.cc
+++ b/Tests/Routing/input_test.cc
@@ -12,30 +12,30 @@
 
 struct RequestCase {
   std::string name;
-  std::function<auto(CallerRequest&)->void> spoil;
+  std::function<auto(CallerRequest&)->void> make_invalid;
   schema::Reason reason;
 };
 
 class RequestTest : public testing::TestWithParam<RequestCase> {};
 
-// Symptom: a bad request crashes or blocks the entry, or is refused without
-// telling why. Sequence and cause are those of the row.
-TEST_P(RequestTest, IsRefusedWithItsReason) {
-  Trial trial;
-  trial.Start();
+// Guards against invalid requests that crash or block the entry, or that are
+// rejected without a reason.
+TEST_P(RequestTest, IsRejectedWithItsReason) {
+  ClusterHarness harness;
+  harness.Start();
   CallerRequest request;
   request.ticket = 1;
   request.partner = kPartner;
   request.service = kService;
-  request.deadline = trial.cluster->now() + milliseconds(500);
-  GetParam().spoil(request);
+  request.deadline = harness.cluster->now() + milliseconds(500);
+  GetParam().make_invalid(request);
   CallerReply reply;
-  trial.cluster->Submit(0, request,
-                        [&](const CallerReply& one) { reply = one; });
+  harness.cluster->Submit(0, request,
+                          [&](const CallerReply& one) { reply = one; });
   EXPECT_EQ(reply.verdict, schema::NOT_RUN);
   EXPECT_EQ(ReasonName(reply.reason), ReasonName(GetParam().reason));
-  EXPECT_EQ(trial.counts["refused " + ReasonName(GetParam().reason)], 1);
-  EXPECT_EQ(trial.cluster->router(0).pending(), 0U);
+  EXPECT_EQ(harness.counts["refused " + ReasonName(GetParam().reason)], 1);
+  EXPECT_EQ(harness.cluster->router(0).pending(), 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -48,44 +48,45 @@
                     schema::UNKNOWN_SERVICE},
         RequestCase{"no key", [](auto& one) { one.repeatable = false; },
                     schema::KEY_REQUIRED},
-        RequestCase{"long key",
-                    [](auto& one) { one.once_key = std::string(9999, 'k'); },
-                    schema::BAD_REQUEST},
-        // The codec would lose the whole message on the way to the agent.
-        RequestCase{"foreign bytes",
+        RequestCase{
+            "long key",
+            [](auto& one) { one.idempotency_key = std::string(9999, 'k'); },
+            schema::BAD_REQUEST},
+        // Protobuf would not parse the message at the agent.
+        RequestCase{"non-ASCII bytes",
                     [](auto& one) { one.http.set_path("/\xff\xfe"); },
                     schema::BAD_REQUEST},
         RequestCase{"deadline passed",
                     [](auto& one) { one.deadline -= milliseconds(500); },
                     schema::DEADLINE_INVALID},
-        RequestCase{"absurd deadline",
+        RequestCase{"deadline too far ahead",
                     [](auto& one) { one.deadline = TimePoint::max(); },
                     schema::DEADLINE_INVALID}),
     [](const auto& one) { return "case" + std::to_string(one.index); });
 
-TEST(NotReadyTest, NothingIsRefusedAsUnknownBeforeTheConfigurationCame) {
+TEST(NotReadyTest, NothingIsRejectedAsUnknownBeforeConfiguration) {
   EntryRouter router({});
   const auto actions = router.OnRequest(TimePoint(milliseconds(1)), {});
   EXPECT_EQ(std::get<CallerReply>(actions.back()).reason,
             schema::ENTRY_NOT_READY);
 }
 
-// Symptom: a process crashes or grows on garbage. Sequence: random bytes that
-// happen to parse, good messages with bytes changed, and absurd values reach
-// both classes. Cause: trust in what comes from the network.
+// Guards against crashes and unbounded growth on malformed input. Random bytes
+// that happen to parse, valid messages with changed bytes, and extreme values
+// reach the entry and the agent.
 TEST(HostileMessageTest, NeitherCrashesNorStopsService) {
   google::protobuf::SetLogHandler(nullptr);
   std::mt19937_64 random(11);
-  Trial trial;
-  trial.Start();
+  ClusterHarness harness;
+  harness.Start();
   std::vector<std::string> seen;
-  trial.network = [&](const std::string&, const std::string&,
-                      const schema::Envelope& message) {
+  harness.network = [&](const std::string&, const std::string&,
+                        const schema::Envelope& message) {
     seen.push_back(message.SerializeAsString());
     return Delivery();
   };
-  trial.Load(20, milliseconds(5), milliseconds(300));
-  trial.cluster->RunFor(milliseconds(600));
+  harness.Load(20, milliseconds(5), milliseconds(300));
+  harness.cluster->RunFor(milliseconds(600));
   int parsed = 0;
   for (int round = 0; round < 60000; ++round) {
     std::string bytes = seen[random() % seen.size()];
@@ -104,15 +105,15 @@
       continue;
     }
     ++parsed;
-    const TimePoint now = trial.cluster->now();
+    const TimePoint now = harness.cluster->now();
     const std::string agent =
         FakeCluster::AgentName(static_cast<int>(random() % 5));
-    trial.cluster->router(0).OnMessage(now, agent, message);
-    trial.cluster->router(0).OnUnsent(now, agent, message);
+    harness.cluster->router(0).OnMessage(now, agent, message);
+    harness.cluster->router(0).OnUnsent(now, agent, message);
     for (const auto& action :
-         trial.cluster->agent(0).OnMessage(now, "entry-0", message)) {
+         harness.cluster->agent(0).OnMessage(now, "entry-0", message)) {
       if (const auto* call = std::get_if<CallEndpoint>(&action)) {
-        trial.cluster->agent(0).OnEndpointAnswer(
+        harness.cluster->agent(0).OnEndpointAnswer(
             now, {.attempt_id = call->attempt_id,
                   .verdict = schema::ANSWERED,
                   .reason = schema::REASON_NONE,
@@ -120,24 +121,23 @@
       }
     }
     if (round % 100 == 0) {
-      trial.cluster->RunFor(milliseconds(10));
+      harness.cluster->RunFor(milliseconds(10));
     }
   }
   EXPECT_GT(parsed, 10000);
-  EXPECT_LE(trial.cluster->agent(0).queued(), 16U);
-  // What a peer says of itself is believed until its next start.
+  EXPECT_LE(harness.cluster->agent(0).queued(), 16U);
+  // A peer's announcements are trusted until it restarts.
   for (const int agent : {0, 1}) {
-    trial.cluster->KillAgent(agent);
-    trial.cluster->StartAgent(agent);
+    harness.cluster->KillAgent(agent);
+    harness.cluster->StartAgent(agent);
   }
-  trial.cluster->RunFor(milliseconds(20000));
-  trial.Ask(0, "after", milliseconds(500));
-  trial.cluster->RunFor(milliseconds(600));
-  EXPECT_EQ(trial.replies["after"].verdict, schema::ANSWERED);
+  harness.cluster->RunFor(milliseconds(20000));
+  harness.SendRequest(0, "after", milliseconds(500));
+  harness.cluster->RunFor(milliseconds(600));
+  EXPECT_EQ(harness.replies["after"].verdict, schema::ANSWERED);
 }
 
-// Symptom: an operator meets a counter that no page explains. Cause: a reason
-// was added without its line in the manual.
+// Guards against a reason that was added without a row in the manual.
 TEST(ReasonsPageTest, EveryReasonHasItsLine) {
   std::ifstream file(RHUBARBHAVEN_REASONS_PAGE);
   std::stringstream page;
@@ -153,7 +153,7 @@
     const std::string row = "| `" + ReasonName(reason) + "` | ";
     const auto start = tables.find(row);
     ASSERT_NE(start, std::string::npos) << ReasonName(reason);
-    // Meaning, counter and what to do.
+    // Columns for the meaning, the counter and the operator's action.
     const std::string line =
         tables.substr(start, tables.find('\n', start) - start);
     EXPECT_EQ(std::count(line.begin(), line.end(), '|'), 5) << line;
--- a/Tests/Routing/load_test.cc
+++ b/Tests/Routing/load_test.cc
@@ -11,26 +11,26 @@
 
 constexpr int kAgents = 4;
 constexpr uint32_t kSlots = 4;
-// Requests a second that the endpoints can take, at 10 ms each.
+// Requests per second that the endpoints can serve, at 10 ms each.
 constexpr int kCapacity = kAgents * kSlots * 100;
 
-auto MakeTrial(Trial& trial) -> void {
-  trial.options.entries = 3;
-  trial.options.agents = kAgents;
-  trial.options.failure_domains = 3;
-  trial.options.admission.slots = kSlots;
-  trial.options.admission.announce_interval = milliseconds(250);
+auto ConfigureHarness(ClusterHarness& harness) -> void {
+  harness.options.entries = 3;
+  harness.options.agents = kAgents;
+  harness.options.failure_domains = 3;
+  harness.options.admission.slots = kSlots;
+  harness.options.admission.announce_interval = milliseconds(250);
 }
 
-auto LoadFor(Trial& trial, double load, milliseconds time) -> void {
+auto LoadFor(ClusterHarness& harness, double load, milliseconds time) -> void {
   const auto gap = microseconds(static_cast<int>(1e6 / (load * kCapacity)));
-  trial.Load(static_cast<int>(time / gap), gap, milliseconds(500));
+  harness.Load(static_cast<int>(time / gap), gap, milliseconds(500));
 }
 
-auto Lost(const std::string& from,
-          const std::string& to,
-          const std::string& one,
-          const std::string& other) -> bool {
+auto IsBetween(const std::string& from,
+               const std::string& to,
+               const std::string& one,
+               const std::string& other) -> bool {
   return (from == one && to == other) || (from == other && to == one);
 }
 
@@ -47,32 +47,33 @@
 
 class LeaveTest : public testing::TestWithParam<LeaveCase> {};
 
-// Symptom: requests are cut off or refused in a planned stop, or an entry
-// goes on sending to an endpoint that has left. Sequence: an agent leaves
-// under load; an entry may be cut off from it, the log may be down. Cause:
-// news of the leave that must arrive, or work that is dropped with it.
+// Guards against requests that are interrupted or rejected in a planned stop,
+// and against entries that keep sending to an endpoint that has left. An agent
+// leaves under load, possibly while one entry cannot reach it or the log is
+// unavailable.
 TEST_P(LeaveTest, NoNewWorkAndNoneLost) {
-  Trial trial;
-  MakeTrial(trial);
-  trial.Start();
-  LoadFor(trial, 0.7, milliseconds(6000));
-  trial.cluster->SetLogUp(!GetParam().log_down);
-  trial.cluster->RunFor(milliseconds(1000));
+  ClusterHarness harness;
+  ConfigureHarness(harness);
+  harness.Start();
+  LoadFor(harness, 0.7, milliseconds(6000));
+  harness.cluster->SetLogUp(!GetParam().log_down);
+  harness.cluster->RunFor(milliseconds(1000));
   if (GetParam().cut_off) {
-    trial.network = [](const std::string& from, const std::string& to,
-                       const schema::Envelope&) {
-      return Delivery{.copies = Lost(from, to, "agent-0", "entry-0") ? 0 : 1};
+    harness.network = [](const std::string& from, const std::string& to,
+                         const schema::Envelope&) {
+      return Delivery{.copies =
+                          IsBetween(from, to, "agent-0", "entry-0") ? 0 : 1};
     };
   }
-  trial.cluster->Leave(0);
-  trial.cluster->RunFor(milliseconds(2000));
-  const int runs = trial.runs_at[0];
+  harness.cluster->Leave(0);
+  harness.cluster->RunFor(milliseconds(2000));
+  const int runs = harness.runs_at[0];
   EXPECT_GT(runs, 0);
-  EXPECT_TRUE(trial.cluster->agent(0).idle());
-  trial.cluster->RunFor(milliseconds(4000));
-  EXPECT_EQ(trial.runs_at[0], runs);
-  const int asked = static_cast<int>(trial.last_ticket);
-  EXPECT_EQ(trial.CountReplies(schema::ANSWERED), asked);
+  EXPECT_TRUE(harness.cluster->agent(0).idle());
+  harness.cluster->RunFor(milliseconds(4000));
+  EXPECT_EQ(harness.runs_at[0], runs);
+  const int submitted = static_cast<int>(harness.last_ticket);
+  EXPECT_EQ(harness.CountReplies(schema::ANSWERED), submitted);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -85,20 +86,20 @@
         LeaveCase{.name = "both", .cut_off = true, .log_down = true}),
     [](const auto& one) { return "case" + std::to_string(one.index); });
 
-// Symptom: a new endpoint stays idle. Sequence: it starts while the log is
-// down. Cause: membership that depends on the log.
+// Guards against membership that depends on the log: an endpoint that starts
+// while the log is unavailable must receive work.
 TEST(JoinTest, GetsWorkWithinTwoSeconds) {
-  Trial trial;
-  MakeTrial(trial);
-  trial.Start();
-  trial.cluster->KillAgent(3);
-  trial.cluster->SetLogUp(false);
-  LoadFor(trial, 0.5, milliseconds(5000));
-  trial.cluster->RunFor(milliseconds(3000));
-  trial.runs_at[3] = 0;
-  trial.cluster->StartAgent(3);
-  trial.cluster->RunFor(milliseconds(2000));
-  EXPECT_GT(trial.runs_at[3], kCapacity / kAgents / 4);
+  ClusterHarness harness;
+  ConfigureHarness(harness);
+  harness.Start();
+  harness.cluster->KillAgent(3);
+  harness.cluster->SetLogUp(false);
+  LoadFor(harness, 0.5, milliseconds(5000));
+  harness.cluster->RunFor(milliseconds(3000));
+  harness.runs_at[3] = 0;
+  harness.cluster->StartAgent(3);
+  harness.cluster->RunFor(milliseconds(2000));
+  EXPECT_GT(harness.runs_at[3], kCapacity / kAgents / 4);
 }
 
 struct PathCase {
@@ -108,41 +109,40 @@
 
 class SilentPathTest : public testing::TestWithParam<PathCase> {};
 
-// Symptom: callers wait on an endpoint that never answers, or a good endpoint
-// is declared dead. Sequence: bytes between one entry and one agent vanish in
-// one or both directions. Cause: an open connection taken for a working one,
-// or a silent path taken for a dead process.
-TEST_P(SilentPathTest, IsLeftAndTakenAgain) {
-  Trial trial;
-  MakeTrial(trial);
-  trial.Start();
-  LoadFor(trial, 0.3, milliseconds(20000));
-  trial.cluster->RunFor(milliseconds(1000));
-  bool cut = true;
+// Guards against treating an open connection as a working one, which leaves
+// callers waiting, and against treating a failed path as a dead process.
+// Messages between one entry and one agent are lost in one or both directions.
+TEST_P(SilentPathTest, IsAvoidedUntilItRecovers) {
+  ClusterHarness harness;
+  ConfigureHarness(harness);
+  harness.Start();
+  LoadFor(harness, 0.3, milliseconds(20000));
+  harness.cluster->RunFor(milliseconds(1000));
+  bool path_down = true;
   int sent = 0;
-  trial.network = [&](const std::string& from, const std::string& to,
-                      const schema::Envelope& message) {
+  harness.network = [&](const std::string& from, const std::string& to,
+                        const schema::Envelope& message) {
     const bool down = from == "entry-0" && to == "agent-0";
     const bool up = from == "agent-0" && to == "entry-0";
     sent += down && message.has_offer() ? 1 : 0;
-    const bool lost =
-        cut && ((down && GetParam().to_agent) || (up && GetParam().to_entry));
+    const bool lost = path_down && ((down && GetParam().to_agent) ||
+                                    (up && GetParam().to_entry));
     return Delivery{.copies = lost ? 0 : 1};
   };
-  trial.cluster->RunFor(milliseconds(1500));
+  harness.cluster->RunFor(milliseconds(1500));
   sent = 0;
-  const int runs = trial.runs_at[0];
-  trial.cluster->RunFor(milliseconds(6000));
-  // At most the probes, and the other entries use the endpoint as before.
+  const int runs = harness.runs_at[0];
+  harness.cluster->RunFor(milliseconds(6000));
+  // Only probes are sent; the other entries use the endpoint as before.
   EXPECT_LE(sent, 3);
-  EXPECT_GT(trial.runs_at[0], runs + 50);
-  cut = false;
-  trial.cluster->RunFor(milliseconds(10000));
+  EXPECT_GT(harness.runs_at[0], runs + 50);
+  path_down = false;
+  harness.cluster->RunFor(milliseconds(10000));
   EXPECT_GT(sent, 100);
-  // Repeatable requests were served elsewhere before their deadline, but for
-  // those sent before the path was known to be silent.
-  EXPECT_GE(trial.CountReplies(schema::ANSWERED),
-            0.995 * static_cast<double>(trial.last_ticket));
+  // Repeatable requests were served by another endpoint before their deadline,
+  // except those sent before the path was detected as failed.
+  EXPECT_GE(harness.CountReplies(schema::ANSWERED),
+            0.995 * static_cast<double>(harness.last_ticket));
 }
 
 INSTANTIATE_TEST_SUITE_P(Rows,
@@ -152,189 +152,196 @@
                                          PathCase{false, true}));
 
 struct BadEndpointCase {
-  Served served;
-  // Largest share of requests that it may get while it is bad.
-  double most = 0.05;
+  EndpointResponse response;
+  // Maximum share of the requests that it may receive while it is faulty.
+  double max_share = 0.05;
   double load = 0.4;
 };
 
 class BadEndpointTest : public testing::TestWithParam<BadEndpointCase> {};
 
-// Symptom: one endpoint that fails fast, or is slow, spoils a large share of
-// requests. Sequence: it turns bad under load, later recovers. Cause: an idle
-// endpoint looks like the best choice, and one that gets nothing never shows
-// that it is well again.
-TEST_P(BadEndpointTest, AttractsNoLoadAndComesBack) {
-  Trial trial;
-  MakeTrial(trial);
-  trial.Start();
-  bool bad = true;
-  trial.endpoint = [&](int agent) {
-    return bad && agent == 0 ? GetParam().served : Served();
+// Guards against one fast-failing or slow endpoint that affects a large share
+// of requests because it looks idle, and against an endpoint that receives
+// nothing after it has recovered because only answers show the recovery. The
+// endpoint becomes faulty under load and recovers later.
+TEST_P(BadEndpointTest, AttractsNoLoadAndRecovers) {
+  ClusterHarness harness;
+  ConfigureHarness(harness);
+  harness.Start();
+  bool faulty = true;
+  harness.endpoint = [&](int agent) {
+    return faulty && agent == 0 ? GetParam().response : EndpointResponse();
   };
-  LoadFor(trial, GetParam().load, milliseconds(40000));
-  trial.cluster->RunFor(milliseconds(2000));
-  trial.runs_at.clear();
-  trial.cluster->RunFor(milliseconds(8000));
+  LoadFor(harness, GetParam().load, milliseconds(40000));
+  harness.cluster->RunFor(milliseconds(2000));
+  harness.runs_at.clear();
+  harness.cluster->RunFor(milliseconds(8000));
   const double all = 8 * GetParam().load * kCapacity;
-  EXPECT_LE(trial.runs_at[0], GetParam().most * all);
-  bad = false;
-  trial.cluster->RunFor(milliseconds(20000));
-  trial.runs_at.clear();
-  trial.cluster->RunFor(milliseconds(8000));
-  EXPECT_GE(trial.runs_at[0], 0.15 * all);
+  EXPECT_LE(harness.runs_at[0], GetParam().max_share * all);
+  faulty = false;
+  harness.cluster->RunFor(milliseconds(20000));
+  harness.runs_at.clear();
+  harness.cluster->RunFor(milliseconds(8000));
+  EXPECT_GE(harness.runs_at[0], 0.15 * all);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Rows,
     BadEndpointTest,
     testing::Values(
-        BadEndpointCase{.served = {.takes = microseconds(100), .status = 500},
-                        .most = 0.01},
-        BadEndpointCase{.served = {.takes = microseconds(100),
-                                   .verdict = schema::NOT_RUN,
-                                   .reason = schema::ENDPOINT_CONNECT_FAILED},
-                        .most = 0.01},
-        BadEndpointCase{.served = {.takes = milliseconds(100)}, .most = 0.03},
-        BadEndpointCase{.served = {.takes = milliseconds(100)},
-                        .most = 0.03,
+        BadEndpointCase{
+            .response = {.response_time = microseconds(100), .status = 500},
+            .max_share = 0.01},
+        BadEndpointCase{.response = {.response_time = microseconds(100),
+                                     .verdict = schema::NOT_RUN,
+                                     .reason = schema::ENDPOINT_CONNECT_FAILED},
+                        .max_share = 0.01},
+        BadEndpointCase{.response = {.response_time = milliseconds(100)},
+                        .max_share = 0.03},
+        BadEndpointCase{.response = {.response_time = milliseconds(100)},
+                        .max_share = 0.03,
                         .load = 0.7}));
 
-// Symptom: requests to a slow service are refused although places are free.
-// Sequence: a burst at an entry that has seen no answer yet; those that wait
-// at the agents are asked after too soon, which cancels them. Cause: a guess
-// at how long attempts take.
+// Guards against a guessed attempt time. In a burst at an entry that has
+// received no answer yet, requests queued at the agents were recalled too soon,
+// which cancelled them although there was capacity.
 TEST(ColdStartTest, SlowServiceIsWaitedFor) {
-  Trial trial;
-  MakeTrial(trial);
-  trial.Start();
-  trial.endpoint = [](int) { return Served{.takes = milliseconds(450)}; };
-  trial.Load(60, microseconds(500), milliseconds(5000));
-  trial.cluster->RunFor(milliseconds(6000));
-  EXPECT_EQ(trial.CountReplies(schema::ANSWERED), 60);
-  EXPECT_EQ(trial.counts["retried recalled"], 0);
+  ClusterHarness harness;
+  ConfigureHarness(harness);
+  harness.Start();
+  harness.endpoint = [](int) {
+    return EndpointResponse{.response_time = milliseconds(450)};
+  };
+  harness.Load(60, microseconds(500), milliseconds(5000));
+  harness.cluster->RunFor(milliseconds(6000));
+  EXPECT_EQ(harness.CountReplies(schema::ANSWERED), 60);
+  EXPECT_EQ(harness.counts["retried recalled"], 0);
 }
 
-// Symptom: endpoints work for callers who have gone. Sequence: a caller gives
-// up while its request waits at an agent. Cause: nobody tells the agent.
+// Guards against endpoints that work for callers that have disconnected: the
+// entry must cancel an attempt that is queued at an agent.
 TEST(CallerGoneTest, WaitingAttemptIsCancelled) {
-  Trial trial;
-  trial.options.agents = 1;
-  trial.options.admission.slots = 1;
-  trial.Start();
-  trial.endpoint = [](int) { return Served{.takes = milliseconds(400)}; };
-  trial.Ask(0, "runs", milliseconds(2000));
-  trial.Ask(0, "waits", milliseconds(2000));
-  trial.cluster->RunFor(milliseconds(50));
-  EXPECT_EQ(trial.cluster->agent(0).queued(), 1U);
-  trial.cluster->CallerGone(0, trial.last_ticket);
-  trial.cluster->RunFor(milliseconds(2000));
-  EXPECT_EQ(trial.runs["runs"], 1);
-  EXPECT_EQ(trial.runs["waits"], 0);
-  EXPECT_FALSE(trial.replies.contains("waits"));
-  EXPECT_EQ(trial.cluster->router(0).pending(), 0U);
+  ClusterHarness harness;
+  harness.options.agents = 1;
+  harness.options.admission.slots = 1;
+  harness.Start();
+  harness.endpoint = [](int) {
+    return EndpointResponse{.response_time = milliseconds(400)};
+  };
+  harness.SendRequest(0, "runs", milliseconds(2000));
+  harness.SendRequest(0, "waits", milliseconds(2000));
+  harness.cluster->RunFor(milliseconds(50));
+  EXPECT_EQ(harness.cluster->agent(0).queued(), 1U);
+  harness.cluster->DisconnectCaller(0, harness.last_ticket);
+  harness.cluster->RunFor(milliseconds(2000));
+  EXPECT_EQ(harness.runs["runs"], 1);
+  EXPECT_EQ(harness.runs["waits"], 0);
+  EXPECT_FALSE(harness.replies.contains("waits"));
+  EXPECT_EQ(harness.cluster->router(0).pending(), 0U);
 }
 
-// Symptom: under ten times the load, fewer requests succeed than at capacity,
-// or refusals come late. Sequence: a flood of requests with a deadline. Cause:
-// queues without a bound, and work for callers who have given up.
-TEST(OverloadTest, GoodputStaysAndRefusalsAreImmediate) {
+// Guards against unbounded queues and work for callers that no longer wait. At
+// ten times the capacity, goodput must not fall and rejections must be
+// immediate.
+TEST(OverloadTest, GoodputHoldsAndRejectionsAreImmediate) {
   std::map<double, int> answered;
   for (const double load : {1.0, 10.0}) {
-    Trial trial;
-    MakeTrial(trial);
-    trial.options.router.max_pending = 500;
-    trial.Start();
-    LoadFor(trial, load, milliseconds(3000));
-    trial.cluster->RunFor(milliseconds(2000));
-    EXPECT_LE(trial.cluster->router(0).pending(), 500U);
-    EXPECT_LE(trial.cluster->agent(0).queued(), 2 * kSlots);
-    trial.cluster->RunFor(milliseconds(2000));
-    answered[load] = trial.CountReplies(schema::ANSWERED);
+    ClusterHarness harness;
+    ConfigureHarness(harness);
+    harness.options.router.max_pending = 500;
+    harness.Start();
+    LoadFor(harness, load, milliseconds(3000));
+    harness.cluster->RunFor(milliseconds(2000));
+    EXPECT_LE(harness.cluster->router(0).pending(), 500U);
+    EXPECT_LE(harness.cluster->agent(0).queued(), 2 * kSlots);
+    harness.cluster->RunFor(milliseconds(2000));
+    answered[load] = harness.CountReplies(schema::ANSWERED);
     int runs = 0;
-    for (const auto& [agent, count] : trial.runs_at) {
+    for (const auto& [agent, count] : harness.runs_at) {
       runs += count;
     }
     EXPECT_LE(runs, 1.1 * answered[load]);
-    int refused = 0;
-    int refused_late = 0;
-    for (const auto& [name, reply] : trial.replies) {
+    int rejected = 0;
+    int rejected_late = 0;
+    for (const auto& [name, reply] : harness.replies) {
       if (reply.verdict == schema::NOT_RUN) {
         EXPECT_GT(reply.retry_after.count(), 0);
-        ++refused;
-        refused_late += trial.replied_at[name] > trial.asked_at[name] ? 1 : 0;
+        ++rejected;
+        rejected_late +=
+            harness.replied_at[name] > harness.sent_at[name] ? 1 : 0;
       }
     }
-    EXPECT_LE(refused_late, 0.02 * refused);
+    EXPECT_LE(rejected_late, 0.02 * rejected);
   }
   EXPECT_GE(answered[10.0], 0.95 * answered[1.0]);
 }
 
-// Symptom: a fault that refuses everything multiplies the work. Sequence: every
-// endpoint refuses connections. Cause: retries without a budget.
+// Guards against retries without a budget, which multiply the load when every
+// endpoint refuses connections.
 TEST(RetryBudgetTest, RetriesAreAShareOfRequests) {
-  Trial trial;
-  MakeTrial(trial);
-  trial.Start();
-  trial.endpoint = [](int) {
-    return Served{.takes = microseconds(100),
-                  .verdict = schema::NOT_RUN,
-                  .reason = schema::ENDPOINT_CONNECT_FAILED,
-                  .status = 200};
+  ClusterHarness harness;
+  ConfigureHarness(harness);
+  harness.Start();
+  harness.endpoint = [](int) {
+    return EndpointResponse{.response_time = microseconds(100),
+                            .verdict = schema::NOT_RUN,
+                            .reason = schema::ENDPOINT_CONNECT_FAILED,
+                            .status = 200};
   };
-  LoadFor(trial, 0.5, milliseconds(10000));
-  trial.cluster->RunFor(milliseconds(11000));
+  LoadFor(harness, 0.5, milliseconds(10000));
+  harness.cluster->RunFor(milliseconds(11000));
   int runs = 0;
-  for (const auto& [agent, count] : trial.runs_at) {
+  for (const auto& [agent, count] : harness.runs_at) {
     runs += count;
   }
-  EXPECT_LE(runs, 1.1 * static_cast<double>(trial.last_ticket) + 100);
-  EXPECT_GT(trial.counts["retried endpoint_connect_failed"], 100);
-  EXPECT_GT(trial.counts["retry_denied retry_budget_empty"], 100);
+  EXPECT_LE(runs, 1.1 * static_cast<double>(harness.last_ticket) + 100);
+  EXPECT_GT(harness.counts["retried endpoint_connect_failed"], 100);
+  EXPECT_GT(harness.counts["retry_denied retry_budget_empty"], 100);
 }
 
 struct NoEndpointCase {
   std::string name;
-  std::function<auto(Trial&)->void> fault;
+  std::function<auto(ClusterHarness&)->void> fault;
 };
 
 class NoEndpointTest : public testing::TestWithParam<NoEndpointCase> {};
 
-// Symptom: callers wait for an endpoint that cannot take work. Sequence: the
-// only one leaves, falls silent or cannot be sent to. Cause: queueing for
-// what is not there.
-TEST_P(NoEndpointTest, IsRefusedAtOnce) {
-  Trial trial;
-  trial.options.agents = 1;
-  trial.Start();
-  GetParam().fault(trial);
-  trial.cluster->RunFor(milliseconds(1500));
-  trial.Ask(0, "r", milliseconds(5000));
-  trial.cluster->RunFor(milliseconds(1));
-  EXPECT_EQ(trial.replies["r"].verdict, schema::NOT_RUN);
-  EXPECT_EQ(trial.replies["r"].reason, schema::NO_ENDPOINT);
-  EXPECT_GT(trial.replies["r"].retry_after.count(), 0);
+// Guards against queueing when the only endpoint is leaving, unresponsive or
+// unreachable.
+TEST_P(NoEndpointTest, IsRejectedAtOnce) {
+  ClusterHarness harness;
+  harness.options.agents = 1;
+  harness.Start();
+  GetParam().fault(harness);
+  harness.cluster->RunFor(milliseconds(1500));
+  harness.SendRequest(0, "r", milliseconds(5000));
+  harness.cluster->RunFor(milliseconds(1));
+  EXPECT_EQ(harness.replies["r"].verdict, schema::NOT_RUN);
+  EXPECT_EQ(harness.replies["r"].reason, schema::NO_ENDPOINT);
+  EXPECT_GT(harness.replies["r"].retry_after.count(), 0);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Rows,
     NoEndpointTest,
     testing::Values(
-        NoEndpointCase{"leaving", [](Trial& one) { one.cluster->Leave(0); }},
+        NoEndpointCase{"leaving",
+                       [](ClusterHarness& one) { one.cluster->Leave(0); }},
         NoEndpointCase{"stopped",
-                       [](Trial& one) { one.cluster->StopAgent(0); }},
-        NoEndpointCase{"killed", [](Trial& one) { one.cluster->KillAgent(0); }},
+                       [](ClusterHarness& one) { one.cluster->StopAgent(0); }},
+        NoEndpointCase{"killed",
+                       [](ClusterHarness& one) { one.cluster->KillAgent(0); }},
         NoEndpointCase{"unhealthy",
-                       [](Trial& one) {
+                       [](ClusterHarness& one) {
                          one.cluster->agent(0).SetEndpointHealthy(
                              one.cluster->now(), false);
                        }}),
     [](const auto& one) { return one.param.name; });
 
-// Symptom: requests pile up at an agent, or run after it was told to stop.
-// Sequence: an entry sends far more than its window, then the agent leaves.
-// Cause: trust that entries keep to their windows and hear of the leave.
-TEST(AgentAdmissionTest, QueueIsBoundedAndLeavingRefuses) {
+// Guards against an unbounded queue at an agent, and against work that starts
+// after the agent was told to stop. The agent must not rely on entries keeping
+// to their windows or knowing that it is leaving.
+TEST(AgentAdmissionTest, QueueIsBoundedAndLeavingRejects) {
   TimePoint now{std::chrono::seconds(100)};
   AdmissionOptions options;
   options.incarnation = 7;
@@ -347,7 +354,7 @@
   ASSERT_FALSE(announced.empty());
   const auto& grant =
       std::get<SendToEntry>(announced.front()).message.announce().grant();
-  std::map<schema::Reason, int> refused;
+  std::map<schema::Reason, int> rejected;
   const auto offer = [&](uint32_t number) {
     schema::Envelope message;
     schema::Offer& one = *message.mutable_offer();
@@ -360,7 +367,7 @@
       const auto* send = std::get_if<SendToEntry>(&action);
       if (send != nullptr) {
         EXPECT_EQ(send->message.answer().verdict(), schema::NOT_RUN);
-        ++refused[send->message.answer().reason()];
+        ++rejected[send->message.answer().reason()];
       }
     }
   };
@@ -369,17 +376,18 @@
   }
   EXPECT_EQ(agent.running(), 8U);
   EXPECT_EQ(agent.queued(), 16U);
-  EXPECT_EQ(refused[schema::AGENT_BUSY], 76);
+  EXPECT_EQ(rejected[schema::AGENT_BUSY], 76);
   agent.Leave(now);
   offer(200);
-  EXPECT_EQ(refused[schema::AGENT_LEAVING], 1);
+  EXPECT_EQ(rejected[schema::AGENT_LEAVING], 1);
   EXPECT_FALSE(agent.idle());
 }
 
-// Symptom: one partner's flood shuts the other out. Sequence: both flood an
-// entry whose endpoints are full; weights are 3 and 1. Cause: first come,
-// first served. Also: memory grows without bound with few large requests.
-TEST(FairShareTest, FullWaitingRoomIsSharedByWeight) {
+// Guards against one partner's burst that excludes the other, as it would with
+// first come, first served. Both partners, with weights 3 and 1, overload an
+// entry whose endpoints are full. Memory must also stay bounded with few large
+// requests.
+TEST(FairShareTest, PendingLimitIsSharedByWeight) {
   TimePoint now{std::chrono::seconds(100)};
   RouterOptions options;
   options.max_pending = 100;
@@ -431,9 +439,9 @@
   EXPECT_NEAR(shares["coop"], 25, 3);
 }
 
-// Symptom: a busy entry queues while the agent has free slots. Sequence: one
-// entry is busy, nine are idle. Cause: places divided by the number of
-// entries.
+// Guards against dividing an agent's capacity equally between entries: with one
+// busy entry and nine idle ones, the busy one would queue requests while the
+// agent has free slots.
 TEST(WindowPlannerTest, IdleEntriesDoNotHoldBackBusyOnes) {
   TimePoint now{std::chrono::seconds(100)};
   WindowPlanner planner(32, milliseconds(250));
