--- a/Tests/Routing/once_test.cc
+++ b/Tests/Routing/once_test.cc
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "Routing/once_table.h"
+#include "Routing/idempotency_table.h"
 #include "Tests/Routing/trial.h"
 
 namespace rhubarbhaven {
@@ -12,10 +12,10 @@
 
 struct OnceCase {
   std::string name;
-  // What happens between the first request and its repeat.
-  std::function<auto(Trial&)->void> between;
+  // Action between the first request and its repeat.
+  std::function<auto(ClusterHarness&)->void> between;
   milliseconds pause{300};
-  // Of the repeat.
+  // Expected outcome of the repeat.
   schema::Verdict verdict = schema::ANSWERED;
   schema::Reason reason = schema::REASON_NONE;
   std::string key = kBilled;
@@ -30,38 +30,42 @@
   *out << one.name;
 }
 
-auto Nothing(Trial& trial) -> void {
-  trial.cluster->RunFor(milliseconds(0));
+auto DoNothing(ClusterHarness& harness) -> void {
+  harness.cluster->RunFor(milliseconds(0));
 }
 
-auto KillFirstEntry(Trial& trial) -> void {
-  trial.cluster->KillEntry(0);
-  trial.cluster->StartEntry(0);
+auto KillFirstEntry(ClusterHarness& harness) -> void {
+  harness.cluster->KillEntry(0);
+  harness.cluster->StartEntry(0);
 }
 
 class OnceTest : public testing::TestWithParam<OnceCase> {};
 
-// Symptom: a member is billed twice. Sequence: the caller asks entry 0 and,
-// after what the row says, asks entry 1 with the same key. Cause: two entries
-// that do not know of each other's run.
-TEST_P(OnceTest, RunsOnceHoweverOftenItIsAsked) {
+// Guards against running a non-repeatable request twice, such as billing a
+// customer twice. The caller sends the request to entry 0 and, after the event
+// of the row, to entry 1 with the same key.
+TEST_P(OnceTest, RunsOnceForAllRepeats) {
   const OnceCase& row = GetParam();
-  Trial trial;
-  trial.options.entries = 2;
-  trial.endpoint = [](int) { return Served{.takes = milliseconds(100)}; };
-  trial.Start();
-  trial.Ask(0, "first", row.first_deadline, kBilled);
-  trial.cluster->RunFor(row.pause);
-  row.between(trial);
-  trial.Ask(row.repeat_entry, "repeat", row.deadline, row.key, row.body);
-  trial.cluster->RunFor(milliseconds(5000));
-  ASSERT_TRUE(trial.replies.contains("repeat"));
-  const CallerReply& reply = trial.replies["repeat"];
+  ClusterHarness harness;
+  harness.options.entries = 2;
+  harness.endpoint = [](int) {
+    return EndpointResponse{.response_time = milliseconds(100)};
+  };
+  harness.Start();
+  harness.SendRequest(0, "first", row.first_deadline, kBilled);
+  harness.cluster->RunFor(row.pause);
+  row.between(harness);
+  harness.SendRequest(row.repeat_entry, "repeat", row.deadline, row.key,
+                      row.body);
+  harness.cluster->RunFor(milliseconds(5000));
+  ASSERT_TRUE(harness.replies.contains("repeat"));
+  const CallerReply& reply = harness.replies["repeat"];
   EXPECT_EQ(reply.verdict, row.verdict);
   EXPECT_EQ(ReasonName(reply.reason), ReasonName(row.reason));
-  EXPECT_EQ(trial.runs["first"] + trial.runs["repeat"], row.runs);
+  EXPECT_EQ(harness.runs["first"] + harness.runs["repeat"], row.runs);
   if (row.verdict == schema::ANSWERED && row.runs == 1) {
-    EXPECT_EQ(reply.http.body(), trial.runs["first"] > 0 ? "first" : "repeat");
+    EXPECT_EQ(reply.http.body(),
+              harness.runs["first"] > 0 ? "first" : "repeat");
   }
 }
 
@@ -70,136 +74,143 @@
     OnceTest,
     testing::Values(
         OnceCase{.name = "at the same time",
-                 .between = Nothing,
+                 .between = DoNothing,
                  .pause = milliseconds(0)},
         OnceCase{.name = "in progress",
-                 .between = Nothing,
+                 .between = DoNothing,
                  .pause = milliseconds(50)},
-        OnceCase{.name = "finished", .between = Nothing},
+        OnceCase{.name = "finished", .between = DoNothing},
         OnceCase{.name = "finished, agents restarted",
                  .between =
-                     [](Trial& trial) {
+                     [](ClusterHarness& harness) {
                        for (const int agent : {0, 1}) {
-                         trial.cluster->KillAgent(agent);
-                         trial.cluster->StartAgent(agent);
+                         harness.cluster->KillAgent(agent);
+                         harness.cluster->StartAgent(agent);
                        }
                      }},
         OnceCase{.name = "finished, agents left",
                  .between =
-                     [](Trial& trial) {
-                       trial.cluster->Leave(0);
-                       trial.cluster->Leave(1);
+                     [](ClusterHarness& harness) {
+                       harness.cluster->Leave(0);
+                       harness.cluster->Leave(1);
                      }},
-        // Its outcome must get into the log when that is back.
+        // The outcome must be appended once the log is available again.
         OnceCase{.name = "in progress, log down for a while",
                  .between =
-                     [](Trial& trial) {
-                       trial.cluster->SetLogUp(false);
-                       trial.cluster->After(milliseconds(400), [&trial] {
-                         trial.cluster->SetLogUp(true);
+                     [](ClusterHarness& harness) {
+                       harness.cluster->SetLogUp(false);
+                       harness.cluster->After(milliseconds(400), [&harness] {
+                         harness.cluster->SetLogUp(true);
                        });
                      },
                  .pause = milliseconds(50)},
-        OnceCase{
-            .name = "finished, log down",
-            .between = [](Trial& trial) { trial.cluster->SetLogUp(false); }},
-        OnceCase{.name = "agents stopped past every time-out",
+        OnceCase{.name = "finished, log down",
                  .between =
-                     [](Trial& trial) {
+                     [](ClusterHarness& harness) {
+                       harness.cluster->SetLogUp(false);
+                     }},
+        OnceCase{.name = "agents stopped past every timeout",
+                 .between =
+                     [](ClusterHarness& harness) {
                        for (const int agent : {0, 1}) {
-                         trial.cluster->StopAgent(agent);
-                         trial.cluster->After(
-                             milliseconds(2500), [&trial, agent] {
-                               trial.cluster->ContinueAgent(agent);
+                         harness.cluster->StopAgent(agent);
+                         harness.cluster->After(
+                             milliseconds(2500), [&harness, agent] {
+                               harness.cluster->ContinueAgent(agent);
                              });
                        }
                      },
                  .pause = milliseconds(50),
                  .verdict = schema::MAY_HAVE_RUN,
                  .reason = schema::KEY_IN_PROGRESS},
-        // The stored outcome reaches a caller who waits long enough.
+        // The stored outcome is returned to a caller that waits long enough.
         OnceCase{.name = "agents stopped, caller waits",
                  .between =
-                     [](Trial& trial) {
+                     [](ClusterHarness& harness) {
                        for (const int agent : {0, 1}) {
-                         trial.cluster->StopAgent(agent);
-                         trial.cluster->After(
-                             milliseconds(1500), [&trial, agent] {
-                               trial.cluster->ContinueAgent(agent);
+                         harness.cluster->StopAgent(agent);
+                         harness.cluster->After(
+                             milliseconds(1500), [&harness, agent] {
+                               harness.cluster->ContinueAgent(agent);
                              });
                        }
                      },
                  .pause = milliseconds(50),
                  .deadline = milliseconds(3000)},
-        // Nobody will ever say what became of it; not_run would invite a
-        // second run under another key.
+        // No outcome will be recorded; not_run would invite a second run under
+        // another key.
         OnceCase{.name = "entry killed in progress",
                  .between = KillFirstEntry,
                  .pause = milliseconds(50),
                  .verdict = schema::MAY_HAVE_RUN,
                  .reason = schema::KEY_IN_PROGRESS},
-        OnceCase{.name = "entry killed before its intent came back",
+        OnceCase{.name = "entry killed before its intent was read back",
                  .between = KillFirstEntry,
                  .pause = milliseconds(7),
                  .verdict = schema::MAY_HAVE_RUN,
                  .reason = schema::KEY_IN_PROGRESS,
                  .runs = 0},
-        // As soon as the new process writes, the old one is known to be gone.
-        OnceCase{.name = "entry killed and seen again",
+        // The first record of the new incarnation shows that the old one no
+        // longer runs.
+        OnceCase{.name = "entry killed, new incarnation has written",
                  .between =
-                     [](Trial& trial) {
-                       KillFirstEntry(trial);
-                       trial.cluster->RunFor(milliseconds(300));
-                       trial.Ask(0, "other", milliseconds(1000), "other");
-                       trial.cluster->RunFor(milliseconds(500));
+                     [](ClusterHarness& harness) {
+                       KillFirstEntry(harness);
+                       harness.cluster->RunFor(milliseconds(300));
+                       harness.SendRequest(0, "other", milliseconds(1000),
+                                           "other");
+                       harness.cluster->RunFor(milliseconds(500));
                      },
                  .pause = milliseconds(50),
                  .verdict = schema::MAY_HAVE_RUN,
                  .reason = schema::KEY_OUTCOME_UNKNOWN},
-        // The entry itself has restarted and has not written yet.
-        OnceCase{.name = "entry killed, asked through it",
+        // The entry has restarted and has not written a record yet.
+        OnceCase{.name = "entry killed, repeat sent to it",
                  .between =
-                     [](Trial& trial) {
-                       KillFirstEntry(trial);
-                       trial.cluster->RunFor(milliseconds(300));
+                     [](ClusterHarness& harness) {
+                       KillFirstEntry(harness);
+                       harness.cluster->RunFor(milliseconds(300));
                      },
                  .pause = milliseconds(50),
                  .verdict = schema::MAY_HAVE_RUN,
                  .reason = schema::KEY_OUTCOME_UNKNOWN,
                  .repeat_entry = 0},
         OnceCase{.name = "other request under the key",
-                 .between = Nothing,
+                 .between = DoNothing,
                  .verdict = schema::NOT_RUN,
                  .reason = schema::KEY_REUSED_FOR_OTHER_REQUEST,
                  .body = "another"},
-        OnceCase{
-            .name = "new key, log down",
-            .between = [](Trial& trial) { trial.cluster->SetLogUp(false); },
-            .verdict = schema::NOT_RUN,
-            .reason = schema::LOG_UNAVAILABLE,
-            .key = "new"},
+        OnceCase{.name = "new key, log down",
+                 .between =
+                     [](ClusterHarness& harness) {
+                       harness.cluster->SetLogUp(false);
+                     },
+                 .verdict = schema::NOT_RUN,
+                 .reason = schema::LOG_UNAVAILABLE,
+                 .key = "new"},
         OnceCase{.name = "new key",
-                 .between = Nothing,
+                 .between = DoNothing,
                  .key = "new",
                  .runs = 2},
-        // Told not_run before its intent came back: it must not run for the
-        // first caller, and the key is free for the repeat.
+        // The caller received not_run before the intent was read back: the
+        // request must not run for it, and the key is free for the repeat.
         OnceCase{.name = "intent after the deadline",
-                 .between = Nothing,
+                 .between = DoNothing,
                  .first_deadline = milliseconds(9)}));
 
-// Symptom: the log's budget of appends is spent on repeats. Sequence: a key is
-// asked for again and again. Cause: an intent for each repeat.
+// Guards against one intent per repeat, which would use up the log's append
+// capacity when a key is repeated many times.
 TEST(OnceCostTest, TwoLogEntriesAndNoneForARepeat) {
-  Trial trial;
-  trial.options.entries = 2;
-  trial.Start();
+  ClusterHarness harness;
+  harness.options.entries = 2;
+  harness.Start();
   for (int number = 0; number < 10; ++number) {
-    trial.Ask(number % 2, std::to_string(number), milliseconds(500), kBilled);
-    trial.cluster->RunFor(milliseconds(100));
+    harness.SendRequest(number % 2, std::to_string(number), milliseconds(500),
+                        kBilled);
+    harness.cluster->RunFor(milliseconds(100));
   }
-  EXPECT_EQ(trial.CountReplies(schema::ANSWERED), 10);
-  EXPECT_EQ(trial.cluster->appends(), 2U);
+  EXPECT_EQ(harness.CountReplies(schema::ANSWERED), 10);
+  EXPECT_EQ(harness.cluster->appends(), 2U);
 }
 
 auto Intent(uint64_t incarnation, uint64_t sequence) -> schema::LogRecord {
@@ -211,12 +222,12 @@
   return record;
 }
 
-// Symptom: a key is taken by a request that was refused long ago. Sequence:
-// the answer of an append is lost and the record comes into the log twice,
-// with the key freed in between. Cause: applying a record twice.
-TEST(OnceTableTest, RepeatedRecordIsVoid) {
+// Guards against applying a record twice. If the reply to an append is lost,
+// its record may be in the log twice, with the key freed in between; the second
+// copy would assign the key to a request that was already rejected.
+TEST(OnceTableTest, DuplicateRecordHasNoEffect) {
   const TimePoint now{std::chrono::seconds(100)};
-  OnceTable table({});
+  IdempotencyTable table({});
   table.Apply(now, 1, Intent(1, 1));
   schema::LogRecord freed = Intent(1, 2);
   schema::OnceDone& done = *freed.mutable_entries(0)->mutable_once_done();
@@ -228,18 +239,18 @@
   EXPECT_EQ(table.Find(kBilled), nullptr);
 }
 
-// Symptom: a key runs twice within the time for which it is remembered.
-// Sequence: an entry that started late still knows an old intent, so a new
-// one is void there, though it runs; then the entry forgets the old one.
-// Cause: counting the time from the first intent only.
+// Guards against counting the retention period from the first intent only. An
+// entry that started late still holds an old intent and treats a new one as
+// void although it runs elsewhere; if the entry then discarded the key, the key
+// could run a second time within the retention period.
 TEST(OnceTableTest, VoidIntentRenewsTheKey) {
   const TimePoint now{std::chrono::seconds(100)};
-  OnceTable table({.retention = std::chrono::seconds(60)});
+  IdempotencyTable table({.retention = std::chrono::seconds(60)});
   table.Apply(now, 1, Intent(1, 1));
   table.Apply(now + std::chrono::seconds(50), 2, Intent(2, 1));
-  table.DropOld(now + std::chrono::seconds(100));
+  table.RemoveExpired(now + std::chrono::seconds(100));
   EXPECT_NE(table.Find(kBilled), nullptr);
-  table.DropOld(now + std::chrono::seconds(110));
+  table.RemoveExpired(now + std::chrono::seconds(110));
   EXPECT_EQ(table.Find(kBilled), nullptr);
 }
 
--- a/Tests/Routing/slow_endpoint_test.cc
+++ b/Tests/Routing/slow_endpoint_test.cc
@@ -11,18 +11,18 @@
 constexpr int kAgents = 3;
 constexpr int kSlowAgent = 0;
 constexpr int kRequests = 20;
-constexpr milliseconds kUsual{2};
-constexpr milliseconds kSlow{60};
+constexpr milliseconds kUsualTime{2};
+constexpr milliseconds kSlowTime{60};
 constexpr milliseconds kDeadline{1000};
-constexpr seconds kCalm{20};
+constexpr seconds kObservationTime{20};
 
 struct SlowCase {
   std::string name;
-  // Only the first request there is slow.
-  bool once = true;
-  // Requests go on.
+  // True if only the first request at the endpoint is slow.
+  bool first_only = true;
+  // True if requests continue to arrive.
   bool traffic = false;
-  // The entry that is asked for the state was started after the requests.
+  // True if the entry whose state is checked started after the requests.
   bool new_entry = false;
   std::string state;
 };
@@ -34,7 +34,7 @@
 class SlowEndpointTest : public testing::TestWithParam<SlowCase> {
  protected:
   auto StateAt(int entry) -> std::string {
-    for (const auto& view : trial_.cluster->router(entry).endpoints()) {
+    for (const auto& view : harness_.cluster->router(entry).endpoints()) {
       if (view.agent == FakeCluster::AgentName(kSlowAgent)) {
         return view.state;
       }
@@ -42,47 +42,48 @@
     return "unknown";
   }
 
-  Trial trial_;
+  ClusterHarness harness_;
 };
 
-// Guards against an endpoint that is counted as slow for good when no request
-// comes any more, and against one that is slow and is forgotten under traffic.
-TEST_P(SlowEndpointTest, CountsAsSlowWhileRequestsShowIt) {
-  trial_.options.entries = 2;
-  trial_.options.agents = kAgents;
-  trial_.endpoint = [this](int agent) -> Served {
-    const bool first = trial_.runs_at[agent] <= 1;
-    const bool slow = agent == kSlowAgent && (first || !GetParam().once);
-    return {.takes = slow ? kSlow : kUsual};
+// Guards against an endpoint that counts as slow permanently once requests
+// stop, and against a slow endpoint that no longer counts as slow while
+// requests arrive.
+TEST_P(SlowEndpointTest, IsSlowOnlyWhileRequestsConfirmIt) {
+  harness_.options.entries = 2;
+  harness_.options.agents = kAgents;
+  harness_.endpoint = [this](int agent) -> EndpointResponse {
+    const bool first = harness_.runs_at[agent] <= 1;
+    const bool slow = agent == kSlowAgent && (first || !GetParam().first_only);
+    return {.response_time = slow ? kSlowTime : kUsualTime};
   };
-  trial_.Start();
-  trial_.Load(kRequests, milliseconds(20), kDeadline);
-  trial_.cluster->RunFor(seconds(1));
+  harness_.Start();
+  harness_.Load(kRequests, milliseconds(20), kDeadline);
+  harness_.cluster->RunFor(seconds(1));
   ASSERT_EQ(StateAt(0), "slow");
   if (GetParam().new_entry) {
-    trial_.cluster->KillEntry(0);
-    trial_.cluster->StartEntry(0);
+    harness_.cluster->KillEntry(0);
+    harness_.cluster->StartEntry(0);
   }
   if (GetParam().traffic) {
     constexpr milliseconds kGap{20};
-    trial_.Load(static_cast<int>(kCalm / kGap), kGap, kDeadline);
+    harness_.Load(static_cast<int>(kObservationTime / kGap), kGap, kDeadline);
   }
-  trial_.cluster->RunFor(kCalm);
+  harness_.cluster->RunFor(kObservationTime);
   EXPECT_EQ(StateAt(0), GetParam().state);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Rows,
     SlowEndpointTest,
-    testing::Values(SlowCase{.name = "calm", .state = "ready"},
-                    SlowCase{.name = "calm, new entry",
+    testing::Values(SlowCase{.name = "no traffic", .state = "ready"},
+                    SlowCase{.name = "no traffic, new entry",
                              .new_entry = true,
                              .state = "ready"},
                     SlowCase{.name = "slow once, traffic",
                              .traffic = true,
                              .state = "ready"},
                     SlowCase{.name = "slow, traffic",
-                             .once = false,
+                             .first_only = false,
                              .traffic = true,
                              .state = "slow"}),
     [](const auto& one) { return "case" + std::to_string(one.index); });
--- a/Tests/Routing/trial.h
+++ b/Tests/Routing/trial.h
@@ -9,21 +9,21 @@
 
 namespace rhubarbhaven {
 
-// A cluster for one table test, with a note of what ran and was replied.
-struct Trial {
+// A cluster for one test, which records runs and replies.
+struct ClusterHarness {
   ClusterOptions options;
   std::function<auto(const std::string& from,
                      const std::string& to,
                      const schema::Envelope&)
                     ->Delivery>
       network;
-  std::function<auto(int agent)->Served> endpoint;
+  std::function<auto(int agent)->EndpointResponse> endpoint;
   std::unique_ptr<FakeCluster> cluster;
-  // Runs by request id, and by agent.
+  // Number of runs, by request id and by agent.
   std::map<std::string, int> runs;
   std::map<int, int> runs_at;
   std::map<std::string, CallerReply> replies;
-  std::map<std::string, TimePoint> asked_at;
+  std::map<std::string, TimePoint> sent_at;
   std::map<std::string, TimePoint> replied_at;
   // Counters by "event reason".
   std::map<std::string, int> counts;
@@ -35,7 +35,7 @@
       return network ? network(from, to, message) : Delivery();
     };
     options.endpoint = [this](int agent, const CallEndpoint&) {
-      return endpoint ? endpoint(agent) : Served();
+      return endpoint ? endpoint(agent) : EndpointResponse();
     };
     options.on_run = [this](int agent, const CallEndpoint& call) {
       ++runs[call.request_id];
@@ -51,20 +51,20 @@
     cluster->RunFor(std::chrono::milliseconds(50));
   }
 
-  // A repeatable request unless a key is given.
-  auto Ask(int entry,
-           const std::string& name,
-           std::chrono::milliseconds deadline,
-           const std::string& key = "",
-           const std::string& body = "") -> void {
-    asked_at[name] = cluster->now();
+  // Sends a request, which is repeatable unless a key is given.
+  auto SendRequest(int entry,
+                   const std::string& name,
+                   std::chrono::milliseconds deadline,
+                   const std::string& key = "",
+                   const std::string& body = "") -> void {
+    sent_at[name] = cluster->now();
     CallerRequest request;
     request.ticket = ++last_ticket;
     request.request_id = name;
     request.partner = kPartner;
     request.service = kService;
     request.repeatable = key.empty();
-    request.once_key = key;
+    request.idempotency_key = key;
     request.http.set_body(body);
     request.deadline = cluster->now() + deadline;
     cluster->Submit(entry, request, [this, name](const CallerReply& reply) {
@@ -73,13 +73,13 @@
     });
   }
 
-  // One request each `gap` through all entries in turn.
+  // Sends one request per `gap`, to all entries in turn.
   auto Load(int requests, Duration gap, std::chrono::milliseconds deadline)
       -> void {
     for (int number = 0; number < requests; ++number) {
       cluster->After(number * gap, [this, number, deadline] {
-        Ask(number % options.entries, "load-" + std::to_string(number),
-            deadline);
+        SendRequest(number % options.entries, "load-" + std::to_string(number),
+                    deadline);
       });
     }
   }
