--- a/Source/Placement/amounts.h
+++ b/Source/Placement/amounts.h
@@ -8,9 +8,9 @@
 
 namespace rhubarbhaven {
 
-// Resources as signed 64-bit numbers, so that sums over a whole cell and
-// differences never overflow. Every amount read from a message is clamped to
-// `kLargestAmount`.
+// Resource amounts as signed 64-bit integers, so that sums over a whole cell
+// and differences cannot overflow. Every amount read from a message is clamped
+// to `kLargestAmount`.
 struct Amounts {
   int64_t millicores = 0;
   int64_t memory_mb = 0;
@@ -27,17 +27,17 @@
 auto operator-(Amounts left, const Amounts& right) -> Amounts;
 
 auto FromMessage(const schema::Resources& message) -> Amounts;
-// Negative amounts become zero.
+// Converts negative amounts to zero.
 auto ToMessage(const Amounts& amounts) -> schema::Resources;
 
-// True if `need` is no larger than `free` in any dimension.
+// Returns true if `need` does not exceed `free` in any dimension.
 auto Fits(const Amounts& need, const Amounts& free) -> bool;
-// The larger (smaller) of both in each dimension.
+// Return the element-wise maximum and minimum.
 auto Larger(const Amounts& left, const Amounts& right) -> Amounts;
 auto Smaller(const Amounts& left, const Amounts& right) -> Amounts;
 
-// "processors 4000 of 2000 millicores" for each dimension in which `need` is
-// larger than `free`, joined by commas; empty if it fits.
+// Returns "processors 4000 of 2000 millicores" for each dimension in which
+// `need` exceeds `free`, joined by commas; empty if `need` fits.
 auto DescribeShortage(const Amounts& need, const Amounts& free) -> std::string;
 
 }  // namespace rhubarbhaven
--- a/Source/Placement/cell_state.cc
+++ b/Source/Placement/cell_state.cc
@@ -43,15 +43,15 @@
   placed_.erase(entry);
 }
 
-auto CellState::Raise(TaskKey task, const Amounts& seen) -> void {
+auto CellState::RaiseUsage(TaskKey task, const Amounts& usage) -> void {
   const auto entry = placed_.find(task);
   if (entry == placed_.end()) {
     return;
   }
   PlacedRecord& placed = entry->second;
-  jobs_.SawMemory(task.job, seen.memory_mb);
-  placed.used_memory_mb = std::max(placed.used_memory_mb, seen.memory_mb);
-  const Amounts by = Larger(placed.held, seen) - placed.held;
+  jobs_.RecordMemoryUse(task.job, usage.memory_mb);
+  placed.peak_memory_mb = std::max(placed.peak_memory_mb, usage.memory_mb);
+  const Amounts by = Larger(placed.held, usage) - placed.held;
   placed.held += by;
   workers_.RaiseHeld(placed.worker, by);
   quotas_.Charge(placed.team, by);
@@ -74,24 +74,24 @@
   workers_.Claim(claim.worker, claim.need);
 }
 
-auto CellState::DropClaim(TaskKey task) -> void {
-  DropClaimsIf(
+auto CellState::RemoveClaim(TaskKey task) -> void {
+  RemoveClaimsIf(
       [task](const PlaceClaim& claim) -> bool { return claim.task == task; });
 }
 
-auto CellState::DropClaimsOfJob(JobId job) -> void {
-  DropClaimsIf(
+auto CellState::RemoveClaimsOfJob(JobId job) -> void {
+  RemoveClaimsIf(
       [job](const PlaceClaim& claim) -> bool { return claim.task.job == job; });
 }
 
-auto CellState::DropStaleClaims(TimePoint now) -> void {
-  DropClaimsIf([this, now](const PlaceClaim& claim) -> bool {
+auto CellState::RemoveStaleClaims(TimePoint now) -> void {
+  RemoveClaimsIf([this, now](const PlaceClaim& claim) -> bool {
     return claim.expires <= now || !workers_.slot(claim.worker).accepting;
   });
 }
 
 template <typename Predicate>
-auto CellState::DropClaimsIf(Predicate predicate) -> void {
+auto CellState::RemoveClaimsIf(Predicate predicate) -> void {
   for (const PlaceClaim& claim : claims_) {
     if (predicate(claim)) {
       workers_.Unclaim(claim.worker, claim.need);
--- a/Source/Placement/cell_state.h
+++ b/Source/Placement/cell_state.h
@@ -15,27 +15,27 @@
 
 namespace rhubarbhaven {
 
-// What is kept of a placed task beyond its job's record.
+// State of a placed task that is not part of its job's record.
 struct PlacedRecord {
   Amounts held;
   WorkerId worker = 0;
-  // As counted and charged, which later changes of the worker or the job
-  // don't alter.
+  // Values at the time of placement, under which the task was counted and
+  // charged. Later changes of the worker or the job do not alter them.
   uint32_t rack = kNoName;
   uint32_t failure_domain = kNoName;
   uint32_t team = kNoName;
-  // Most memory that it was seen to use; what it holds until then.
-  int64_t used_memory_mb = 0;
-  uint32_t unsaved_s = 0;
+  // Peak memory use reported so far; 0 until the first report.
+  int64_t peak_memory_mb = 0;
+  uint32_t unsaved_progress_s = 0;
   uint32_t evictions = 0;
   bool stopping = false;
-  // The caller has said that it holds the place. Before that it is only
-  // decided, and not a victim: a round would displace what it has just placed.
+  // The caller has confirmed the placement. An unconfirmed task is not a
+  // preemption victim: a round would otherwise evict what it has just placed.
   bool confirmed = false;
 };
 
-// Room kept free on a worker for one waiting task, while tasks that were
-// evicted for it (or that end by themselves) leave.
+// Resources reserved on a worker for one waiting task until enough tasks there
+// have stopped, either evicted for it or ended by themselves.
 struct PlaceClaim {
   TaskKey task;
   WorkerId worker = 0;
@@ -43,8 +43,8 @@
   TimePoint expires;
 };
 
-// Everything the placer knows of its cell. Every change of what is held goes
-// through here, so that workers, teams and jobs always agree.
+// The placer's state of its cell. Every change of held resources goes through
+// this class, so that the accounts of workers, teams and jobs stay consistent.
 class CellState {
  public:
   CellState() : workers_(&names_) {}
@@ -63,27 +63,28 @@
   auto placed() const -> std::size_t { return placed_.size(); }
 
   auto SetRules(uint32_t partner, const schema::PartnerRules& rules) -> void;
-  // Defaults if the partner has written none.
+  // Returns the default rules if the partner has none.
   auto Rules(uint32_t partner) const -> const schema::PartnerRules&;
 
-  // Null if the task holds no place.
+  // Returns null if the task is not placed.
   auto FindPlaced(TaskKey task) const -> const PlacedRecord*;
   auto Place(TaskKey task, const PlacedRecord& record) -> void;
   auto Unplace(TaskKey task) -> void;
-  auto Raise(TaskKey task, const Amounts& seen) -> void;
+  // Raises the held amounts to the reported `usage`; never lowers them.
+  auto RaiseUsage(TaskKey task, const Amounts& usage) -> void;
   auto SetStopping(TaskKey task) -> void;
 
-  // Null if nothing is claimed for the task.
+  // Returns null if the task has no claim.
   auto FindClaim(TaskKey task) const -> const PlaceClaim*;
   auto AddClaim(const PlaceClaim& claim) -> void;
-  auto DropClaim(TaskKey task) -> void;
-  auto DropClaimsOfJob(JobId job) -> void;
-  // Drops claims past their end, and of workers that take nothing any more.
-  auto DropStaleClaims(TimePoint now) -> void;
+  auto RemoveClaim(TaskKey task) -> void;
+  auto RemoveClaimsOfJob(JobId job) -> void;
+  // Removes expired claims and claims on workers that accept no new work.
+  auto RemoveStaleClaims(TimePoint now) -> void;
 
  private:
   template <typename Predicate>
-  auto DropClaimsIf(Predicate predicate) -> void;
+  auto RemoveClaimsIf(Predicate predicate) -> void;
 
   NameTable names_;
   JobTable jobs_;
--- a/Source/Placement/effect_estimates.cc
+++ b/Source/Placement/effect_estimates.cc
@@ -6,10 +6,10 @@
 namespace rhubarbhaven {
 namespace {
 
-// Variance of one measured log(p99): about 10 % of noise.
-constexpr double kNoise = 0.01;
-// After this many half-lives nothing is left worth keeping.
-constexpr int kForgottenAfter = 10;
+// Variance of one measured log(p99), which corresponds to about 10 % noise.
+constexpr double kMeasurementVariance = 0.01;
+// After this many half-lives without an update, an effect is removed.
+constexpr int kMaxHalfLives = 10;
 
 auto Seconds(Duration duration) -> double {
   return std::chrono::duration<double>(duration).count();
@@ -20,24 +20,24 @@
 auto EffectTable::At(TimePoint now, const std::string& name) const -> Effect {
   const auto entry = effects_.find(name);
   if (entry == effects_.end()) {
-    return {0, options_.first_variance, now};
+    return {0, options_.initial_variance, now};
   }
   Effect effect = entry->second;
   const double age = std::max(0.0, Seconds(now - effect.updated));
   const double kept =
       std::exp2(-age / static_cast<double>(options_.half_life.count()));
-  if (options_.forgets_to_zero) {
+  if (options_.decays_to_zero) {
     effect.mean *= kept;
   }
   effect.variance = effect.variance * kept * kept +
-                    options_.first_variance * (1 - kept * kept);
+                    options_.initial_variance * (1 - kept * kept);
   effect.updated = now;
   return effect;
 }
 
 auto EffectTable::Set(TimePoint now, const std::string& name, Effect effect)
     -> void {
-  if (options_.forgets_to_zero) {
+  if (options_.decays_to_zero) {
     effect.mean = std::max(0.0, effect.mean);
   }
   effect.updated = now;
@@ -46,7 +46,7 @@
 
 auto EffectTable::Prune(TimePoint now) -> void {
   absl::erase_if(effects_, [&](const auto& entry) -> bool {
-    return now - entry.second.updated > options_.half_life * kForgottenAfter;
+    return now - entry.second.updated > options_.half_life * kMaxHalfLives;
   });
 }
 
@@ -58,24 +58,24 @@
                   EffectTable& effects) -> void {
   Effect own = bases.At(now, base);
   double expected = own.mean;
-  double spread = own.variance + kNoise;
+  double total_variance = own.variance + kMeasurementVariance;
   std::vector<Effect> parts;
   parts.reserve(terms.size());
   for (const EffectTerm& term : terms) {
     const Effect effect = effects.At(now, term.name);
     expected += term.share * effect.mean;
-    spread += term.share * term.share * effect.variance;
+    total_variance += term.share * term.share * effect.variance;
     parts.push_back(effect);
   }
   const double error = observed - expected;
-  const double own_gain = own.variance / spread;
+  const double own_gain = own.variance / total_variance;
   own.mean += own_gain * error;
   own.variance *= 1 - own_gain;
   bases.Set(now, base, own);
   for (std::size_t index = 0; index < terms.size(); ++index) {
     Effect effect = parts[index];
     const double share = terms[index].share;
-    const double gain = share * effect.variance / spread;
+    const double gain = share * effect.variance / total_variance;
     effect.mean += gain * error;
     effect.variance *= 1 - gain * share;
     effects.Set(now, terms[index].name, effect);
--- a/Source/Placement/effect_estimates.h
+++ b/Source/Placement/effect_estimates.h
@@ -10,16 +10,16 @@
 
 namespace rhubarbhaven {
 
-// One estimated quantity on the scale of log(slowdown): a mean, and how
-// unsure it is. Without news it returns to its first variance, and, where the
-// table says so, to zero.
+// One estimated quantity on the scale of log(slowdown), with its variance.
+// Without observations the variance returns to its initial value and, if the
+// table's options say so, the mean to zero.
 struct Effect {
   double mean = 0;
   double variance = 0;
   TimePoint updated;
 };
 
-// A part of an observation: `share` times the effect of that name.
+// A term of an observation: `share` times the effect called `name`.
 struct EffectTerm {
   std::string name;
   double share = 1;
@@ -27,11 +27,11 @@
 
 struct EffectOptions {
   std::chrono::seconds half_life{1800};
-  double first_variance = 0.1;
-  // For effects of jobs: they are not below zero and are forgotten. The
-  // service's own level is neither: if it returned to zero, every report
-  // above zero would lay a part of the difference on the jobs.
-  bool forgets_to_zero = true;
+  double initial_variance = 0.1;
+  // Used for effects of jobs, which are never below zero and decay to zero. The
+  // service's own level does neither: if it decayed to zero, every report above
+  // zero would attribute part of the difference to the jobs.
+  bool decays_to_zero = true;
 };
 
 // A set of effects with common options.
@@ -39,10 +39,10 @@
  public:
   explicit EffectTable(EffectOptions options) : options_(options) {}
 
-  // The effect as it stands at `now`.
+  // Returns the effect decayed to `now`.
   auto At(TimePoint now, const std::string& name) const -> Effect;
   auto Set(TimePoint now, const std::string& name, Effect effect) -> void;
-  // Forgets effects that have returned to where they began.
+  // Removes effects that have decayed to their initial values.
   auto Prune(TimePoint now) -> void;
   auto size() const -> std::size_t { return effects_.size(); }
 
@@ -51,9 +51,10 @@
   absl::flat_hash_map<std::string, Effect> effects_;
 };
 
-// Learns from `observed` = base + sum of the terms, on the scale of logs. The
-// error is shared among all parts in proportion to how unsure each one is, so
-// that a job that is well known takes no blame for a newcomer.
+// Updates the estimates from `observed` = base + sum of the terms, on the
+// logarithmic scale. The error is distributed over all terms in proportion to
+// their variances, so that the effect of a new job is not attributed to a job
+// whose estimate is already precise.
 auto LearnEffects(TimePoint now,
                   double observed,
                   const std::string& base,
--- a/Source/Placement/explanation.cc
+++ b/Source/Placement/explanation.cc
@@ -8,85 +8,90 @@
 namespace rhubarbhaven {
 namespace {
 
-// What the workers say to one need, counted.
-struct Survey {
+// Counts of the workers that satisfy increasingly strict conditions for one
+// need.
+struct WorkerCounts {
   int reachable = 0;
   int in_domain = 0;
   int large_enough = 0;
   int accepting = 0;
   int with_room = 0;
-  // Of the instance that lacks least, empty and now.
+  // The instance with the smallest shortage when empty, its usable amounts, and
+  // that shortage.
   std::string largest_instance;
   Amounts largest;
-  int64_t least_missing = 0;
+  int64_t smallest_shortage = 0;
 };
 
-// Missing amounts on one scale, by which instances are compared: 1 GB counts
-// like half a processor, an accelerator like 16.
-auto Missing(const Amounts& need, const Amounts& free) -> int64_t {
+// Returns the missing amounts on a single scale, by which instances are
+// compared: 1 GB counts as half a processor, an accelerator as 16 processors.
+auto MissingAmount(const Amounts& need, const Amounts& free) -> int64_t {
   const Amounts missing = Larger(need - free, Amounts{});
   return missing.millicores + missing.memory_mb / 2 +
          missing.accelerators * 16000;
 }
 
-auto NoteLargest(const WorkerSlot& slot, const Amounts& need, Survey& survey)
-    -> void {
-  const int64_t missing = Missing(need, slot.usable);
-  if (survey.largest_instance.empty() || missing < survey.least_missing) {
-    survey.largest_instance = slot.instance;
-    survey.largest = slot.usable;
-    survey.least_missing = missing;
+auto UpdateLargest(const WorkerSlot& slot,
+                   const Amounts& need,
+                   WorkerCounts& counts) -> void {
+  const int64_t missing = MissingAmount(need, slot.usable);
+  if (counts.largest_instance.empty() || missing < counts.smallest_shortage) {
+    counts.largest_instance = slot.instance;
+    counts.largest = slot.usable;
+    counts.smallest_shortage = missing;
   }
 }
 
-auto Look(const CellState& cell, const JobGroup& job, const Amounts& need)
-    -> Survey {
-  Survey survey;
+auto CountWorkers(const CellState& cell,
+                  const JobGroup& job,
+                  const Amounts& need) -> WorkerCounts {
+  WorkerCounts counts;
   const std::vector<WorkerSlot>& slots = cell.workers().slots();
   for (std::size_t index = 0; index < slots.size(); ++index) {
     const WorkerSlot& slot = slots[index];
     const auto worker = static_cast<WorkerId>(index);
-    if (!slot.known || !cell.workers().Takes(worker, job.partner)) {
+    if (!slot.known || !cell.workers().AcceptsPartner(worker, job.partner)) {
       continue;
     }
-    ++survey.reachable;
+    ++counts.reachable;
     if (job.failure_domain != kNoName &&
         job.failure_domain != slot.failure_domain) {
       continue;
     }
-    ++survey.in_domain;
-    NoteLargest(slot, need, survey);
+    ++counts.in_domain;
+    UpdateLargest(slot, need, counts);
     if (!Fits(need, slot.usable)) {
       continue;
     }
-    ++survey.large_enough;
+    ++counts.large_enough;
     if (!slot.accepting) {
       continue;
     }
-    ++survey.accepting;
+    ++counts.accepting;
     if (Fits(need, cell.workers().rows()[worker].free)) {
-      ++survey.with_room;
+      ++counts.with_room;
     }
   }
-  return survey;
+  return counts;
 }
 
-auto ExplainNever(const CellState& cell,
-                  const JobGroup& job,
-                  const Amounts& need,
-                  const Survey& survey) -> std::optional<std::string> {
-  if (survey.reachable == 0) {
+auto ExplainInfeasible(const CellState& cell,
+                       const JobGroup& job,
+                       const Amounts& need,
+                       const WorkerCounts& counts)
+    -> std::optional<std::string> {
+  if (counts.reachable == 0) {
     return "no instance takes tasks of partner " + job.partner_name +
            "; add one or open one to the partner";
   }
-  if (survey.in_domain == 0) {
+  if (counts.in_domain == 0) {
     return "no instance that takes the partner's tasks is in failure domain " +
            cell.names().name(job.failure_domain);
   }
-  if (survey.large_enough == 0) {
+  if (counts.large_enough == 0) {
     return "needs more than any instance has: " +
-           DescribeShortage(need, survey.largest) + " (nearest is " +
-           survey.largest_instance + "); reduce the need or add an instance";
+           DescribeShortage(need, counts.largest) + " (nearest is " +
+           counts.largest_instance + "); reduce the need or add an instance";
   }
   if (job.team != kNoName && !Fits(need, cell.quotas().Limit(job.team))) {
     return "needs more than the quota of team " + cell.names().name(job.team) +
@@ -100,7 +105,7 @@
                  const JobGroup& job,
                  TaskKey key,
                  const Amounts& need,
-                 const Survey& survey) -> std::string {
+                 const WorkerCounts& counts) -> std::string {
   if (job.team != kNoName && !Fits(need, cell.quotas().Room(job.team))) {
     return "the quota of team " + cell.names().name(job.team) +
            " is in use: needs " +
@@ -111,18 +116,18 @@
     return "room is kept on " + cell.workers().slot(claim->worker).instance +
            " until tasks there have stopped";
   }
-  if (survey.accepting == 0) {
-    return "none of the " + std::to_string(survey.large_enough) +
-           " instances that are large enough takes new work now (silent, "
-           "draining or set aside)";
+  if (counts.accepting == 0) {
+    return "none of the " + std::to_string(counts.large_enough) +
+           " instances that are large enough takes new work now "
+           "(unreachable, draining or quarantined)";
   }
-  if (survey.with_room == 0) {
-    return "all " + std::to_string(survey.accepting) +
+  if (counts.with_room == 0) {
+    return "all " + std::to_string(counts.accepting) +
            " instances that are large enough are in use";
   }
-  return std::to_string(survey.with_room) +
+  return std::to_string(counts.with_room) +
          " instances have room; waits for its turn, for a rack below the "
-         "job's max_per_rack, or for an instance whose service bears it";
+         "job's max_per_rack, or for an instance whose service tolerates it";
 }
 
 }  // namespace
@@ -146,17 +151,17 @@
   if (waiting == job.waiting.end()) {
     return {false, "not known to the placer"};
   }
-  const Amounts need = cell.jobs().Expected(key->job, waiting->second.need,
-                                            cell.workers().largest());
-  const Survey survey = Look(cell, job, need);
-  const std::optional<std::string> never =
-      ExplainNever(cell, job, need, survey);
-  if (never.has_value()) {
-    return {true, "can never run: " + *never};
+  const Amounts need = cell.jobs().ExpectedNeed(key->job, waiting->second.need,
+                                                cell.workers().largest());
+  const WorkerCounts counts = CountWorkers(cell, job, need);
+  const std::optional<std::string> infeasible_reason =
+      ExplainInfeasible(cell, job, need, counts);
+  if (infeasible_reason.has_value()) {
+    return {true, "can never run: " + *infeasible_reason};
   }
-  std::string text = "waits: " + ExplainWait(cell, job, *key, need, survey);
+  std::string text = "waits: " + ExplainWait(cell, job, *key, need, counts);
   if (now - waiting->second.since >= options.ageing) {
-    text += "; has aged by a class";
+    text += "; has aged into a higher urgency class";
   }
   return {false, text};
 }
--- a/Source/Placement/explanation.h
+++ b/Source/Placement/explanation.h
@@ -5,7 +5,7 @@
 
 namespace rhubarbhaven {
 
-// Why the task waits, whether it can ever run, or where it runs.
+// Explains why a task waits and whether it can ever run, or where it runs.
 auto ExplainTask(const CellState& cell,
                  const PlacerOptions& options,
                  TimePoint now,
--- a/Source/Placement/interference.cc
+++ b/Source/Placement/interference.cc
@@ -14,12 +14,13 @@
 namespace rhubarbhaven {
 namespace {
 
-// Reports of one instance that were measured this close together come from
-// the same window: a worker repeats the service's figure for each task.
+// Reports of one instance that were measured less than this apart belong to the
+// same window: a worker repeats the service's p99 in the report of each task.
 constexpr std::chrono::milliseconds kSameWindow{500};
-// The service's own level follows its load, so it is soon unsure again.
+// The service's own level follows its load, so its estimate becomes uncertain
+// again quickly.
 constexpr std::chrono::seconds kBaseHalfLife{300};
-// The peaks of a day's load come back; a short-lived one is forgotten slowly.
+// Daily load peaks recur, so a peak decays slowly.
 constexpr std::chrono::seconds kPeakHalfLife{7200};
 constexpr double kBaseVariance = 0.25;
 constexpr double kEffectVariance = 0.1;
@@ -29,16 +30,16 @@
 
 struct InstanceState {
   std::string partner;
-  // "partner/service"; empty if there is none.
+  // "partner/service"; empty if the instance has no service.
   std::string service;
   uint32_t target_p99_us = 0;
   RunHistory history;
   StepControl control;
-  // Highest level of the service's own load of late, and as of when.
+  // Decaying maximum of the service's own level, and when it was updated.
   double peak = 0;
   TimePoint peak_at;
   bool reported = false;
-  // Windows that were learned from, as far back as the history.
+  // Times of the windows already used, as far back as the history.
   std::vector<TimePoint> windows;
 };
 
@@ -75,7 +76,7 @@
 
   auto SetRules(const std::string& partner, const schema::PartnerRules& rules)
       -> void {
-    weights_[partner] = WeightsOf(rules);
+    weights_[partner] = NormalizedWeights(rules);
   }
 
   auto SetService(const std::string& instance,
@@ -84,8 +85,8 @@
     InstanceState& state = instances_[instance];
     state.partner = partner;
     state.service = partner + "/" + service.name();
-    constexpr uint32_t kMostMs = std::numeric_limits<uint32_t>::max() / 1000;
-    state.target_p99_us = std::min(service.target_p99_ms(), kMostMs) * 1000;
+    constexpr uint32_t kMaxMs = std::numeric_limits<uint32_t>::max() / 1000;
+    state.target_p99_us = std::min(service.target_p99_ms(), kMaxMs) * 1000;
   }
 
   auto History(const std::string& instance) -> RunHistory& {
@@ -104,7 +105,7 @@
     InstanceState& state = instances_[instance];
     state.history.Prune(now - options_.history);
     if (state.service.empty() || report.service_p99_us() == 0 ||
-        !TakeWindow(now, measured, state)) {
+        !AcceptWindow(now, measured, state)) {
       return {};
     }
     if (++reports_ % kPruneEvery == 0) {
@@ -115,7 +116,7 @@
     LearnEffects(now, observed, instance, TermsAt(measured, state, report),
                  bases_, effects_);
     UpdatePeak(now, instance, state);
-    return Act(now, measured, observed, instance, state);
+    return ChooseActions(now, measured, observed, instance, state);
   }
 
   auto ExpectedSlowdown(TimePoint now,
@@ -146,12 +147,12 @@
     if (added < kNegligible) {
       return 0;
     }
-    // An instance that is silent, maybe since it runs nothing, would else
-    // stay refused by what was true when it last reported.
+    // An instance may send no reports because it runs nothing. Without this, it
+    // would stay excluded on the basis of its last report.
     if (!state.reported || now - state.peak_at > options_.history) {
       return added;
     }
-    const double limit = ActLevel(options_, Weights(state.partner));
+    const double limit = ActThreshold(options_, Weights(state.partner));
     const double level =
         Base(now, instance, state) + EffectOfRunning(now, state) + added;
     const double throttled_at_peak =
@@ -169,9 +170,10 @@
     return entry == weights_.end() ? StepWeights{} : entry->second;
   }
 
-  // False for a window that was learned from before or is too old.
-  auto TakeWindow(TimePoint now, TimePoint measured, InstanceState& state) const
-      -> bool {
+  // Returns false for a window that was already used or is too old.
+  auto AcceptWindow(TimePoint now,
+                    TimePoint measured,
+                    InstanceState& state) const -> bool {
     std::erase_if(state.windows, [&](TimePoint window) -> bool {
       return now - window > options_.history;
     });
@@ -188,8 +190,8 @@
     return !repeated;
   }
 
-  // Without a target there is nothing to compare with but the service's own
-  // level, which then takes the place of the target.
+  // Without a target, the service's own estimated level serves as the target,
+  // and the p99 is taken relative to a fixed 1000 us.
   static auto LogSlowdown(const InstanceState& state, uint32_t p99_us)
       -> double {
     const double target = state.target_p99_us == 0
@@ -222,28 +224,28 @@
       -> std::vector<EffectTerm> {
     std::vector<EffectTerm> terms;
     for (const Run& run : state.history.runs()) {
-      if (run.RanAt(measured)) {
+      if (run.WasRunningAt(measured)) {
         const double share =
-            run.ThrottledAt(measured) ? options_.throttled_share : 1;
+            run.WasThrottledAt(measured) ? options_.throttled_share : 1;
         AddTerm(PairName(state.service, run.task), share, terms);
       }
     }
     for (const schema::TaskId& task : report.beside()) {
-      if (!KnownAt(measured, state, task)) {
+      if (!IsInHistory(measured, state, task)) {
         AddTerm(PairName(state.service, task), 1, terms);
       }
     }
     return terms;
   }
 
-  // Tasks that the worker names and the history lacks ran before this process
-  // took over.
-  static auto KnownAt(TimePoint measured,
-                      const InstanceState& state,
-                      const schema::TaskId& task) -> bool {
+  // Tasks that the worker reports but the history lacks were started before
+  // this process took over.
+  static auto IsInHistory(TimePoint measured,
+                          const InstanceState& state,
+                          const schema::TaskId& task) -> bool {
     return std::ranges::any_of(
         state.history.runs(), [&](const Run& run) -> bool {
-          return run.RanAt(measured) && SameTask(run.task, task);
+          return run.WasRunningAt(measured) && SameTask(run.task, task);
         });
   }
 
@@ -251,7 +253,7 @@
       -> double {
     double sum = 0;
     for (const RunningEffect& task : Running(now, state)) {
-      sum += EffectNow(options_, task);
+      sum += CurrentEffect(options_, task);
     }
     return sum;
   }
@@ -275,7 +277,7 @@
       RunningEffect task;
       task.task = run.task;
       task.effect = effects_.At(now, PairName(state.service, run.task)).mean;
-      task.throttled = run.ThrottledAt(now);
+      task.throttled = run.WasThrottledAt(now);
       task.costly_to_evict = run.costly_to_evict;
       task.leaving = run.leaving;
       task.weights = Weights(run.task.partner());
@@ -284,13 +286,13 @@
     return running;
   }
 
-  // Several throttles may be needed at once when a wave sets in; one for each
-  // report would take minutes.
-  auto Act(TimePoint now,
-           TimePoint measured,
-           double observed,
-           const std::string& instance,
-           InstanceState& state) -> std::vector<InterferenceAction> {
+  // Repeats while tasks are throttled: at the start of a load wave several
+  // tasks may have to be throttled, and one per report would take minutes.
+  auto ChooseActions(TimePoint now,
+                     TimePoint measured,
+                     double observed,
+                     const std::string& instance,
+                     InstanceState& state) -> std::vector<InterferenceAction> {
     std::vector<InterferenceAction> actions;
     InstanceLevel level;
     level.base = Base(now, instance, state);
@@ -305,16 +307,16 @@
       InterferenceAction action = state.control.Choose(now, options_, level);
       step = action.step;
       if (step != InterferenceStep::kNone) {
-        Remember(now, action, state.history);
+        RecordAction(now, action, state.history);
         actions.push_back(std::move(action));
       }
     }
     return actions;
   }
 
-  static auto Remember(TimePoint now,
-                       const InterferenceAction& action,
-                       RunHistory& history) -> void {
+  static auto RecordAction(TimePoint now,
+                           const InterferenceAction& action,
+                           RunHistory& history) -> void {
     if (action.step == InterferenceStep::kMove) {
       history.SetLeaving(action.task);
       return;
--- a/Source/Placement/interference.h
+++ b/Source/Placement/interference.h
@@ -10,7 +10,7 @@
 
 namespace rhubarbhaven {
 
-// What is done about a task that hurts the service beside it.
+// Measures against a task that slows down the service on its instance.
 enum class InterferenceStep { kNone, kThrottle, kUnthrottle, kMove };
 
 struct InterferenceAction {
@@ -20,24 +20,24 @@
 };
 
 struct InterferenceOptions {
-  // How long it is remembered what ran together; older reports are dropped.
+  // How long the runs of each instance are kept; older reports are ignored.
   std::chrono::seconds history{180};
-  // Without news, what was learned of a pair halves in this time.
+  // Half-life of the estimate for a pair while no reports update it.
   std::chrono::seconds half_life{7200};
-  // Slowdown of a service's p99 over its target, at which steps begin and
-  // below which they are taken back. Steps begin earlier for a partner that
-  // weighs tail latency more than the rest.
-  double act_above = 1.0;
-  double relax_below = 0.95;
-  // Shortest time between a step and the one that takes it back; also the
-  // unit of the wait before a task is moved.
+  // Ratio of a service's expected p99 to its target above which steps are
+  // taken, and below which they are reverted. The first threshold is lower for
+  // a partner that gives tail latency more than a third of its weights.
+  double act_threshold = 1.0;
+  double relax_threshold = 0.95;
+  // Minimum time between a step and its reversal; also the unit of the wait
+  // before a task is moved.
   std::chrono::seconds hold{30};
-  // What is left of a task's effect while it is throttled.
+  // Share of a task's effect that remains while it is throttled.
   double throttled_share = 0.3;
 };
 
-// Learns from late reports how badly a job hurts a service, per pair, and
-// acts in steps.
+// Estimates for each pair of service and job how much the job slows the service
+// down, from reports that arrive late, and chooses steps against it.
 class InterferenceModel {
  public:
   explicit InterferenceModel(InterferenceOptions options);
@@ -57,27 +57,28 @@
   auto OnStopped(TimePoint now,
                  const std::string& instance,
                  const schema::TaskId& task) -> void;
-  // A report that was measured at `measured` and came in at `now`.
+  // Handles a report that was measured at `measured` and arrived at `now`.
+  // Returns the steps to take.
   auto OnReport(TimePoint now,
                 TimePoint measured,
                 const std::string& instance,
                 const schema::UsageReport& report)
       -> std::vector<InterferenceAction>;
-  // Expected slowdown of the service on the instance if the job ran there;
-  // 1 means none.
+  // Returns the expected slowdown factor of the service on the instance if the
+  // job ran there; 1 means none.
   auto ExpectedSlowdown(TimePoint now,
                         const std::string& instance,
                         const std::string& partner,
                         const std::string& job) const -> double;
-  // What placing the job there costs, for `PlacerOptions::extra_cost`: the
-  // log(slowdown) that the job is known to cause; infinite where the service
-  // would go beyond the level at which steps begin, now or, with the job
+  // Returns the cost of placing the job there, for `PlacerOptions::extra_cost`:
+  // the log(slowdown) that the job is expected to cause. Infinite where the
+  // service would exceed the threshold for steps, either now or, with the job
   // throttled, at the peaks of its load.
   auto PlacementCost(TimePoint now,
                      const std::string& instance,
                      const std::string& partner,
                      const std::string& job) const -> double;
-  // The instance has left the register.
+  // Removes the state of an instance that is no longer registered.
   auto RemoveInstance(const std::string& instance) -> void;
 
  private:
--- a/Source/Placement/job_table.cc
+++ b/Source/Placement/job_table.cc
@@ -6,10 +6,12 @@
 namespace rhubarbhaven {
 namespace {
 
-// A job's order is compacted when this many dead entries lead it.
-constexpr std::size_t kCompactAfter = 64;
-// Jobs whose memory is remembered beyond their last version, at most.
-constexpr std::size_t kJobsRemembered = 65536;
+// A job's order is compacted when it begins with at least this many stale
+// entries, and they are at least half of it.
+constexpr std::size_t kMinStaleEntries = 64;
+// Maximum number of jobs whose peak memory use is kept after their last version
+// is removed. All are cleared when it is reached.
+constexpr std::size_t kMaxRetainedJobs = 65536;
 
 auto FullName(const std::string& partner, const std::string& job)
     -> std::string {
@@ -52,7 +54,7 @@
   const std::optional<TaskKey> known = Find(spec.task);
   const uint32_t index = spec.task.index();
   const TaskKey key =
-      known.has_value() ? *known : TaskKey{Make(std::move(spec.task)), index};
+      known.has_value() ? *known : TaskKey{Create(std::move(spec.task)), index};
   JobGroup& group = jobs_[key.job];
   group.partner = partner;
   group.team = team;
@@ -125,12 +127,12 @@
 auto JobTable::NextWaiting(JobId id, std::size_t& from)
     -> std::optional<uint32_t> {
   JobGroup& group = jobs_[id];
-  if (group.head >= kCompactAfter && group.head * 2 >= group.order.size()) {
-    const std::size_t dead = group.head;
+  if (group.head >= kMinStaleEntries && group.head * 2 >= group.order.size()) {
+    const std::size_t stale = group.head;
     group.order.erase(group.order.begin(),
-                      group.order.begin() + static_cast<ptrdiff_t>(dead));
+                      group.order.begin() + static_cast<ptrdiff_t>(stale));
     group.head = 0;
-    from -= std::min(from, dead);
+    from -= std::min(from, stale);
   }
   from = std::max(from, group.head);
   while (from < group.order.size()) {
@@ -146,7 +148,7 @@
   return std::nullopt;
 }
 
-auto JobTable::FirstSince(JobId id) -> std::optional<TimePoint> {
+auto JobTable::FirstWaitingSince(JobId id) -> std::optional<TimePoint> {
   JobGroup& group = jobs_[id];
   if (group.waiting.empty()) {
     return std::nullopt;
@@ -164,26 +166,26 @@
   return group.first_since;
 }
 
-auto JobTable::SawMemory(JobId id, int64_t memory_mb) -> void {
+auto JobTable::RecordMemoryUse(JobId id, int64_t memory_mb) -> void {
   JobGroup& group = jobs_[id];
-  if (memory_mb <= group.seen_memory_mb) {
+  if (memory_mb <= group.peak_memory_mb) {
     return;
   }
-  group.seen_memory_mb = memory_mb;
-  if (seen_memory_mb_.size() >= kJobsRemembered) {
-    seen_memory_mb_.clear();
+  group.peak_memory_mb = memory_mb;
+  if (peak_memory_mb_.size() >= kMaxRetainedJobs) {
+    peak_memory_mb_.clear();
   }
-  int64_t& seen = seen_memory_mb_[FullName(group.partner_name, group.name)];
-  seen = std::max(seen, memory_mb);
+  int64_t& peak = peak_memory_mb_[FullName(group.partner_name, group.name)];
+  peak = std::max(peak, memory_mb);
 }
 
-auto JobTable::Expected(JobId id,
-                        const Amounts& need,
-                        const Amounts& most) const -> Amounts {
-  const int64_t seen = jobs_[id].seen_memory_mb;
+auto JobTable::ExpectedNeed(JobId id,
+                            const Amounts& need,
+                            const Amounts& max_amounts) const -> Amounts {
+  const int64_t peak = jobs_[id].peak_memory_mb;
   Amounts expected = need;
-  if (seen <= most.memory_mb) {
-    expected.memory_mb = std::max(need.memory_mb, seen);
+  if (peak <= max_amounts.memory_mb) {
+    expected.memory_mb = std::max(need.memory_mb, peak);
   }
   return expected;
 }
@@ -216,7 +218,7 @@
   unused_.push_back(id);
 }
 
-auto JobTable::Make(schema::TaskId task) -> JobId {
+auto JobTable::Create(schema::TaskId task) -> JobId {
   if (unused_.empty()) {
     unused_.push_back(static_cast<JobId>(jobs_.size()));
     jobs_.emplace_back();
@@ -226,8 +228,8 @@
   const std::string name = FullName(task.partner(), task.job());
   by_name_[name].push_back(id);
   JobGroup& group = jobs_[id];
-  const auto seen = seen_memory_mb_.find(name);
-  group.seen_memory_mb = seen == seen_memory_mb_.end() ? 0 : seen->second;
+  const auto peak = peak_memory_mb_.find(name);
+  group.peak_memory_mb = peak == peak_memory_mb_.end() ? 0 : peak->second;
   group.in_use = true;
   group.version = task.job_version();
   group.partner_name = std::move(*task.mutable_partner());
--- a/Source/Placement/job_table.h
+++ b/Source/Placement/job_table.h
@@ -14,16 +14,16 @@
 
 namespace rhubarbhaven {
 
-// What is kept of a waiting task beyond its job's record.
+// State of a waiting task that is not part of its job's record.
 struct WaitingTask {
   uint32_t attempt = 1;
   Amounts need;
   TimePoint since;
 };
 
-// A job with its waiting tasks and a count of its placed ones. Trivially
-// destructible records in flat containers: dropping all the waiting tasks of
-// a job frees two blocks, whatever their number.
+// A job with its waiting tasks and a count of its placed ones. The waiting
+// tasks are trivially destructible records in flat containers, so that
+// discarding all of them frees two memory blocks, whatever their number.
 struct JobGroup {
   std::string partner_name;
   std::string name;
@@ -36,17 +36,18 @@
   uint32_t max_per_rack = 0;
   bool costly_to_evict = false;
   bool in_use = false;
-  // Most memory that one task of any version of the job was seen to use.
-  int64_t seen_memory_mb = 0;
+  // Peak memory reported for a single task of any version of the job.
+  int64_t peak_memory_mb = 0;
 
   absl::flat_hash_map<uint32_t, WaitingTask> waiting;
   // Indices in order of arrival; those no longer in `waiting` are skipped.
   std::vector<uint32_t> order;
   std::size_t head = 0;
-  // The need of all waiting tasks, while they have the same.
+  // The need of the waiting tasks while it is the same for all of them.
   std::optional<Amounts> common_need;
-  // The first waiting task, while `first_known`: a round looks at it for
-  // every job, and each look into `waiting` costs a cache miss.
+  // The first waiting task, valid while `first_known`. It is cached because a
+  // round reads it for every job, and each lookup in `waiting` costs a cache
+  // miss.
   bool first_known = false;
   uint32_t first_index = 0;
   TimePoint first_since;
@@ -60,9 +61,9 @@
 class JobTable {
  public:
   auto Find(const schema::TaskId& task) const -> std::optional<TaskKey>;
-  // Finds or makes the task's job and takes over what `spec` says of it.
+  // Finds or creates the task's job and updates its properties from `spec`.
   auto Update(PendingTask spec, NameTable& names) -> TaskKey;
-  // Every version of a job that is known.
+  // Returns all versions of a job in the table.
   auto Versions(const std::string& partner, const std::string& job) const
       -> std::vector<JobId>;
   auto Id(TaskKey key) const -> schema::TaskId;
@@ -73,37 +74,41 @@
   auto waiting() const -> std::size_t { return waiting_; }
 
   auto AddWaiting(TaskKey key, const WaitingTask& task) -> void;
-  // False if the task did not wait.
+  // Returns false if the task was not waiting.
   auto RemoveWaiting(TaskKey key) -> bool;
   auto ClearWaiting(JobId id) -> void;
-  // Index of the first waiting task at or behind position `from` of the
-  // job's order; moves `from` to it.
+  // Returns the index of the first waiting task at or after position `from` of
+  // the job's order, and advances `from` to its position.
   auto NextWaiting(JobId id, std::size_t& from) -> std::optional<uint32_t>;
 
-  // Since when the job's first waiting task waits; none if none does.
-  auto FirstSince(JobId id) -> std::optional<TimePoint>;
+  // Returns since when the job's first waiting task has waited; none if no task
+  // of the job waits.
+  auto FirstWaitingSince(JobId id) -> std::optional<TimePoint>;
 
-  // Memory seen of one task, which the others are likely to need as well.
-  auto SawMemory(JobId id, int64_t memory_mb) -> void;
-  // What is held for a waiting task of the job: its own need, but as much
-  // memory as others of the job were seen to use, if that is at most `most`.
-  auto Expected(JobId id, const Amounts& need, const Amounts& most) const
-      -> Amounts;
+  // Records the memory use of one task. The job's other tasks are likely to
+  // need as much.
+  auto RecordMemoryUse(JobId id, int64_t memory_mb) -> void;
+  // Returns the amounts to hold for a waiting task of the job: its own need,
+  // with the memory raised to the peak use of the job's tasks if that is at
+  // most `max_amounts`.
+  auto ExpectedNeed(JobId id,
+                    const Amounts& need,
+                    const Amounts& max_amounts) const -> Amounts;
 
   auto CountPlaced(JobId id, uint32_t rack, uint32_t domain) -> void;
   auto UncountPlaced(JobId id, uint32_t rack, uint32_t domain) -> void;
-  // Forgets the job if it has no task left.
+  // Removes the job if it has no waiting or placed task.
   auto ReleaseIfEmpty(JobId id) -> void;
 
  private:
-  auto Make(schema::TaskId task) -> JobId;
+  auto Create(schema::TaskId task) -> JobId;
 
   std::vector<JobGroup> jobs_;
   std::vector<JobId> unused_;
-  // Versions by "partner/job".
+  // Versions of each job by "partner/job".
   absl::flat_hash_map<std::string, std::vector<JobId>> by_name_;
-  // Memory seen by "partner/job", beyond the life of a version.
-  absl::flat_hash_map<std::string, int64_t> seen_memory_mb_;
+  // Peak memory use by "partner/job", kept after a version is removed.
+  absl::flat_hash_map<std::string, int64_t> peak_memory_mb_;
   std::size_t waiting_ = 0;
 };
 
--- a/Source/Placement/name_table.h
+++ b/Source/Placement/name_table.h
@@ -11,11 +11,11 @@
 
 namespace rhubarbhaven {
 
-// No name: any failure domain, no team, a rack that is not known.
+// Stands for a missing name: any failure domain, no team, or an unknown rack.
 inline constexpr uint32_t kNoName = std::numeric_limits<uint32_t>::max();
 
-// Small dense numbers for names that stand in many records (partners, racks,
-// failure domains, instances). Numbers are never given back.
+// Interns names that occur in many records (partners, racks, failure domains,
+// instances) as small dense ids. Ids are never reused.
 class NameTable {
  public:
   auto Intern(const std::string& name) -> uint32_t;
--- a/Source/Placement/pending_order.cc
+++ b/Source/Placement/pending_order.cc
@@ -35,7 +35,7 @@
                        JobId id,
                        TimePoint now,
                        std::chrono::seconds ageing) -> void {
-  const std::optional<TimePoint> first = jobs->FirstSince(id);
+  const std::optional<TimePoint> first = jobs->FirstWaitingSince(id);
   if (!first.has_value()) {
     return;
   }
@@ -44,13 +44,13 @@
   const int own_rank = UrgencyRank(job.urgency);
   int rank = own_rank;
   if (ageing.count() > 0 && now > since) {
-    const auto steps = (now - since) / ageing;
+    const auto promotions = (now - since) / ageing;
     rank = static_cast<int>(std::min<int64_t>(
-        kClasses - 1, own_rank + static_cast<int64_t>(steps)));
+        kClassCount - 1, own_rank + static_cast<int64_t>(promotions)));
   }
   Class& group = classes_[static_cast<std::size_t>(rank)];
-  Lane& lane = rank == own_rank ? group.own : group.aged;
-  lane.push_back({id, job.priority, since});
+  EntryHeap& heap = rank == own_rank ? group.own : group.aged;
+  heap.push_back({id, job.priority, since});
 }
 
 auto PendingOrder::Next(uint64_t turn) -> std::optional<JobId> {
@@ -58,7 +58,8 @@
     if (group->own.empty() && group->aged.empty()) {
       continue;
     }
-    const bool aged_turn = turn % (kUrgentTurns + 1) == kUrgentTurns;
+    const bool aged_turn =
+        turn % (kOwnTurnsPerAgedTurn + 1) == kOwnTurnsPerAgedTurn;
     current_is_aged_ =
         !group->aged.empty() && (aged_turn || group->own.empty());
     current_ = current_is_aged_ ? &group->aged : &group->own;
@@ -67,7 +68,7 @@
   return std::nullopt;
 }
 
-auto PendingOrder::Drop() -> void {
+auto PendingOrder::RemoveCurrent() -> void {
   std::ranges::pop_heap(*current_,
                         current_is_aged_ ? AfterByTime : AfterByPriority);
   current_->pop_back();
--- a/Source/Placement/pending_order.h
+++ b/Source/Placement/pending_order.h
@@ -12,18 +12,19 @@
 namespace rhubarbhaven {
 
 // The order in which jobs with waiting tasks are served in one round: by
-// urgency, then priority, then the time of the first waiting task. Jobs that
-// aged into a higher class share it: each of `kUrgentTurns` placements of the
-// class's own jobs is followed by one of theirs, so that neither starves.
+// urgency, then priority, then the time since which the first task waits. Jobs
+// that aged into a higher class share it: every `kOwnTurnsPerAgedTurn`
+// placements of the class's own jobs are followed by one placement of an aged
+// job, so that neither group starves.
 class PendingOrder {
  public:
   PendingOrder(JobTable* jobs, TimePoint now, std::chrono::seconds ageing);
 
-  // The job to serve next; none at the end. `turn` counts the placements of
-  // earlier rounds too.
+  // Returns the job to serve next, or none when all are removed. `turn` counts
+  // the placements of all rounds, including earlier ones.
   auto Next(uint64_t turn) -> std::optional<JobId>;
-  // Takes the job that `Next` named last out of the round.
-  auto Drop() -> void;
+  // Removes the job that `Next` returned last from the round.
+  auto RemoveCurrent() -> void;
 
  private:
   struct Entry {
@@ -31,25 +32,26 @@
     uint32_t priority = 0;
     TimePoint since;
   };
-  // A heap: a round seldom gets to the end, so sorting would be wasted.
-  using Lane = std::vector<Entry>;
-  // Jobs of one class: its own, and those that aged into it (by time alone).
+  // A heap: a round seldom serves every job, so a full sort would be wasted.
+  using EntryHeap = std::vector<Entry>;
+  // Jobs of one urgency class: its own, and those that aged into it, which are
+  // ordered by time alone.
   struct Class {
-    Lane own;
-    Lane aged;
+    EntryHeap own;
+    EntryHeap aged;
   };
 
-  static constexpr int kClasses = 3;
-  static constexpr uint64_t kUrgentTurns = 4;
+  static constexpr int kClassCount = 3;
+  static constexpr uint64_t kOwnTurnsPerAgedTurn = 4;
 
-  // Heap orders: true if `left` is served after `right`.
+  // Heap comparators: true if `left` is served after `right`.
   static auto AfterByPriority(const Entry& left, const Entry& right) -> bool;
   static auto AfterByTime(const Entry& left, const Entry& right) -> bool;
   auto Add(JobTable* jobs, JobId id, TimePoint now, std::chrono::seconds ageing)
       -> void;
 
-  std::array<Class, kClasses> classes_;
-  Lane* current_ = nullptr;
+  std::array<Class, kClassCount> classes_;
+  EntryHeap* current_ = nullptr;
   bool current_is_aged_ = false;
 };
 
--- a/Source/Placement/place_finder.cc
+++ b/Source/Placement/place_finder.cc
@@ -6,19 +6,19 @@
 namespace rhubarbhaven {
 namespace {
 
-// A search stops after this many workers that can hold the task.
-constexpr std::size_t kSample = 64;
-// Workers that are asked for their extra cost.
-constexpr std::size_t kShortlist = 16;
+// A search stops after finding this many workers that can hold the task.
+constexpr std::size_t kMaxSampledWorkers = 64;
+// Maximum number of workers whose extra cost is computed.
+constexpr std::size_t kMaxCandidates = 16;
 
-// Weights of the parts of a place's cost; the parts are shares, 0 to 1.
-constexpr double kLeftOver = 0.5;
-constexpr double kImbalance = 0.5;
-// Taking room beside accelerators that the task doesn't need.
-constexpr double kIdleAccelerators = 2.0;
-constexpr double kSameRack = 1.0;
-constexpr double kSameDomain = 0.5;
-constexpr double kGuest = 0.25;
+// Weights of the terms of a placement's cost; the terms are shares from 0 to 1.
+constexpr double kLeftoverWeight = 0.5;
+constexpr double kImbalanceWeight = 0.5;
+// Cost of using a worker with accelerators for a task that needs none.
+constexpr double kIdleAcceleratorsCost = 2.0;
+constexpr double kSameRackWeight = 1.0;
+constexpr double kSameDomainWeight = 0.5;
+constexpr double kGuestCost = 0.25;
 
 auto Share(int64_t part, int64_t whole) -> double {
   return whole <= 0 ? 0.0
@@ -54,21 +54,22 @@
 }
 
 auto PlaceFinder::Find(TaskKey task, const WaitingTask& waiting)
-    -> PlaceSearch {
+    -> PlaceSearchResult {
   const JobGroup& job = cell_->jobs().job(task.job);
-  const NoPlace why_not = Collect(job, waiting.need);
+  const PlacementFailure failure = CollectCandidates(job, waiting.need);
   if (candidates_.empty()) {
-    return {std::nullopt, why_not};
+    return {std::nullopt, failure};
   }
   AddExtraCost(task, waiting);
   const auto best = std::ranges::min_element(candidates_, {}, &Candidate::cost);
   if (!std::isfinite(best->cost)) {
-    return {std::nullopt, NoPlace::kForbidden};
+    return {std::nullopt, PlacementFailure::kExtraCost};
   }
-  return {best->worker, NoPlace::kNone};
+  return {best->worker, PlacementFailure::kNone};
 }
 
-auto PlaceFinder::Collect(const JobGroup& job, const Amounts& need) -> NoPlace {
+auto PlaceFinder::CollectCandidates(const JobGroup& job, const Amounts& need)
+    -> PlacementFailure {
   candidates_.clear();
   const std::vector<WorkerRow>& rows = cell_->workers().rows();
   const std::vector<char> access = cell_->workers().Access(job.partner);
@@ -76,8 +77,9 @@
   start_ = start_ * 1664525U + 1013904223U;
   std::size_t position = count == 0 ? 0 : start_ % count;
   std::size_t found = 0;
-  NoPlace why_not = NoPlace::kCapacity;
-  for (std::size_t seen = 0; seen < count && found < kSample; ++seen) {
+  PlacementFailure failure = PlacementFailure::kCapacity;
+  for (std::size_t scanned = 0; scanned < count && found < kMaxSampledWorkers;
+       ++scanned) {
     const WorkerRow& row = rows[position];
     const auto worker = static_cast<WorkerId>(position);
     position = position + 1 == count ? 0 : position + 1;
@@ -89,17 +91,17 @@
       continue;
     }
     if (!RackHasRoom(job, row.rack)) {
-      why_not = NoPlace::kRackLimit;
+      failure = PlacementFailure::kRackLimit;
       continue;
     }
     ++found;
-    Offer(Cost(job, need, row, worker), worker);
+    AddCandidate(Cost(job, need, row, worker), worker);
   }
-  return why_not;
+  return failure;
 }
 
-auto PlaceFinder::Offer(double cost, WorkerId worker) -> void {
-  if (candidates_.size() < kShortlist) {
+auto PlaceFinder::AddCandidate(double cost, WorkerId worker) -> void {
+  if (candidates_.size() < kMaxCandidates) {
     candidates_.push_back({cost, worker});
     return;
   }
@@ -119,22 +121,22 @@
   const double processors = Share(left.millicores, largest.millicores);
   const double memory = Share(left.memory_mb, largest.memory_mb);
   const double accelerators = Share(left.accelerators, largest.accelerators);
-  double cost = kLeftOver * (processors + memory) / 2 +
-                kImbalance * std::abs(processors - memory);
+  double cost = kLeftoverWeight * (processors + memory) / 2 +
+                kImbalanceWeight * std::abs(processors - memory);
   if (need.accelerators > 0) {
-    cost += kLeftOver * accelerators;
+    cost += kLeftoverWeight * accelerators;
   } else if (row.has_accelerators) {
-    cost += kIdleAccelerators;
+    cost += kIdleAcceleratorsCost;
   }
   if (job.placed > 0) {
+    cost += kSameRackWeight *
+            Share(CountOf(job.placed_per_rack, row.rack), job.placed);
     cost +=
-        kSameRack * Share(CountOf(job.placed_per_rack, row.rack), job.placed);
-    cost +=
-        kSameDomain *
+        kSameDomainWeight *
         Share(CountOf(job.placed_per_domain, row.failure_domain), job.placed);
   }
   if (cell_->workers().slot(worker).partner != job.partner) {
-    cost += kGuest;
+    cost += kGuestCost;
   }
   return cost;
 }
--- a/Source/Placement/place_finder.h
+++ b/Source/Placement/place_finder.h
@@ -9,35 +9,36 @@
 
 namespace rhubarbhaven {
 
-// Why no place was found for a task.
-enum class NoPlace {
+// Why no worker was found for a task.
+enum class PlacementFailure {
   kNone,
-  // No worker has enough free in every dimension.
+  // No worker has enough free resources in every dimension.
   kCapacity,
-  // Some have, but their racks hold enough tasks of the job already.
+  // Some workers have enough, but their racks have reached the job's
+  // `max_per_rack`.
   kRackLimit,
-  // Some have, but `extra_cost` forbids them all for now.
-  kForbidden,
+  // Some workers have enough, but `extra_cost` is infinite for all candidates.
+  kExtraCost,
 };
 
-struct PlaceSearch {
+struct PlaceSearchResult {
   std::optional<WorkerId> worker;
-  NoPlace why_not = NoPlace::kNone;
+  PlacementFailure failure = PlacementFailure::kNone;
 };
 
-// Whether the job may put one more task on the rack.
+// Returns whether the job may place one more task on the rack.
 auto RackHasRoom(const JobGroup& job, uint32_t rack) -> bool;
 
-// Chooses the worker for one task: the cheapest by fit, spread and the extra
-// cost among a bounded sample of those that can hold it.
+// Chooses a worker for one task: the one with the lowest cost by fit, spread
+// and extra cost among a bounded sample of the workers that can hold the task.
 class PlaceFinder {
  public:
   PlaceFinder(const CellState* cell, const PlacerOptions* options)
       : cell_(cell), options_(options) {}
 
-  // Where the latest search began; any number.
+  // Start of the latest search, to be reduced modulo the number of workers.
   auto start() const -> uint32_t { return start_; }
-  auto Find(TaskKey task, const WaitingTask& waiting) -> PlaceSearch;
+  auto Find(TaskKey task, const WaitingTask& waiting) -> PlaceSearchResult;
 
  private:
   struct Candidate {
@@ -45,9 +46,11 @@
     WorkerId worker = 0;
   };
 
-  // Fills `candidates_` with the cheapest by fit and spread.
-  auto Collect(const JobGroup& job, const Amounts& need) -> NoPlace;
-  auto Offer(double cost, WorkerId worker) -> void;
+  // Fills `candidates_` with the workers that are cheapest by fit and spread.
+  auto CollectCandidates(const JobGroup& job, const Amounts& need)
+      -> PlacementFailure;
+  // Adds a candidate, replacing the most expensive one when the list is full.
+  auto AddCandidate(double cost, WorkerId worker) -> void;
   auto Cost(const JobGroup& job,
             const Amounts& need,
             const WorkerRow& row,
@@ -56,7 +59,8 @@
 
   const CellState* cell_;
   const PlacerOptions* options_;
-  // Where the next search begins, so that samples differ.
+  // Pseudo-random start of the latest search, advanced by each search so that
+  // samples differ.
   uint32_t start_ = 0;
   std::vector<Candidate> candidates_;
 };
--- a/Source/Placement/placement.h
+++ b/Source/Placement/placement.h
@@ -1,8 +1,9 @@
 #ifndef RHUBARBHAVEN_PLACEMENT_PLACEMENT_H_
 #define RHUBARBHAVEN_PLACEMENT_PLACEMENT_H_
 
-// Where tasks go, which give way, and what cannot run. No I/O, no locks, no
-// clock, no threads.
+// Public interface of the placement package: placement of tasks, preemption,
+// interference control and worker health. The package performs no I/O, takes no
+// locks, reads no clock and starts no threads.
 
 #include "Placement/interference.h"
 #include "Placement/placer.h"
--- a/Source/Placement/placement_round.cc
+++ b/Source/Placement/placement_round.cc
@@ -6,14 +6,16 @@
 namespace rhubarbhaven {
 namespace {
 
-// Tasks of one job that are tried before the job counts as stuck; they may
-// have different needs, since what was seen of earlier attempts differs.
-constexpr int kTriesPerJob = 4;
-// Needs without room that are remembered within a round.
-constexpr std::size_t kFailedNeeds = 32;
-// Room is kept for a task at most this long.
-constexpr std::chrono::seconds kPreemptionClaim{120};
-// One worker in this many may be kept for a task that has waited long.
+// Maximum number of tasks of one job that are tried without success in a round.
+// Several are tried because their needs may differ, as the usage reported for
+// earlier attempts does.
+constexpr int kMaxTriesPerJob = 4;
+// Maximum number of failed needs that are kept within a round.
+constexpr std::size_t kMaxFailedNeeds = 32;
+// Maximum time for which resources are claimed for a task that preempts others.
+constexpr std::chrono::seconds kPreemptionClaimDuration{120};
+// Tasks that have waited long may reserve one worker in this many, at least
+// one.
 constexpr std::size_t kWorkersPerReservation = 8;
 
 }  // namespace
@@ -25,7 +27,7 @@
     : cell_(cell), finder_(finder), options_(options), now_(now) {}
 
 auto PlacementRound::Run(std::size_t limit, uint64_t& turn) -> PlacerRound {
-  cell_->DropStaleClaims(now_);
+  cell_->RemoveStaleClaims(now_);
   EvictFromOvercommitted();
   PendingOrder order(&cell_->jobs(), now_, options_->ageing);
   while (round_.placements.size() < limit) {
@@ -33,10 +35,10 @@
     if (!job.has_value()) {
       break;
     }
-    if (PlaceOneOf(*job)) {
+    if (PlaceNextTask(*job)) {
       ++turn;
     } else {
-      order.Drop();
+      order.RemoveCurrent();
     }
   }
   return std::move(round_);
@@ -53,13 +55,13 @@
   }
 }
 
-auto PlacementRound::PlaceOneOf(JobId id) -> bool {
-  if (KnownToBeStuck(id)) {
+auto PlacementRound::PlaceNextTask(JobId id) -> bool {
+  if (IsJobKnownToFail(id)) {
     return false;
   }
   std::size_t position = 0;
   int tries = 0;
-  while (tries < kTriesPerJob) {
+  while (tries < kMaxTriesPerJob) {
     const std::optional<uint32_t> index =
         cell_->jobs().NextWaiting(id, position);
     if (!index.has_value()) {
@@ -69,7 +71,7 @@
     if (attempt == Attempt::kPlaced) {
       return true;
     }
-    if (attempt == Attempt::kNoPlace) {
+    if (attempt == Attempt::kNotPlaced) {
       ++tries;
     }
     ++position;
@@ -80,42 +82,43 @@
 auto PlacementRound::TryTask(TaskKey task) -> Attempt {
   const JobGroup& job = cell_->jobs().job(task.job);
   WaitingTask waiting = job.waiting.find(task.index)->second;
-  waiting.need = cell_->jobs().Expected(task.job, waiting.need,
-                                        cell_->workers().largest());
+  waiting.need = cell_->jobs().ExpectedNeed(task.job, waiting.need,
+                                            cell_->workers().largest());
   if (!Fits(waiting.need, cell_->quotas().Room(job.team))) {
-    cell_->DropClaim(task);
-    return Attempt::kNoPlace;
+    cell_->RemoveClaim(task);
+    return Attempt::kNotPlaced;
   }
   const PlaceClaim* claim = cell_->FindClaim(task);
   if (claim != nullptr) {
     return TryClaim(*claim, waiting);
   }
-  if (KnownToFail(job, waiting.need)) {
-    return Attempt::kNoPlace;
+  if (IsNeedKnownToFail(job, waiting.need)) {
+    return Attempt::kNotPlaced;
   }
-  const PlaceSearch search = finder_->Find(task, waiting);
+  const PlaceSearchResult search = finder_->Find(task, waiting);
   if (search.worker.has_value()) {
     Commit(task, waiting, *search.worker);
     return Attempt::kPlaced;
   }
-  if (search.why_not != NoPlace::kCapacity) {
-    return Attempt::kNoPlace;
+  if (search.failure != PlacementFailure::kCapacity) {
+    return Attempt::kNotPlaced;
   }
   if (MakeRoom(task, waiting)) {
     return Attempt::kClaimed;
   }
-  if (failed_.size() < kFailedNeeds) {
-    failed_.push_back({job.partner, job.failure_domain, waiting.need});
+  if (failed_needs_.size() < kMaxFailedNeeds) {
+    failed_needs_.push_back({job.partner, job.failure_domain, waiting.need});
   }
-  return Attempt::kNoPlace;
+  return Attempt::kNotPlaced;
 }
 
 auto PlacementRound::TryClaim(PlaceClaim claim, const WaitingTask& waiting)
     -> Attempt {
   const WorkerSlot& slot = cell_->workers().slot(claim.worker);
-  // Other claims on the worker are kept; the task's own ends by placing it.
-  const Amounts free =
-      cell_->workers().Unheld(claim.worker) - (slot.claimed - claim.need);
+  // Subtracts other claims on the worker; the task's own claim ends when the
+  // task is placed.
+  const Amounts free = cell_->workers().FreeIgnoringClaims(claim.worker) -
+                       (slot.claimed - claim.need);
   if (!Fits(waiting.need, free) ||
       !RackHasRoom(cell_->jobs().job(claim.task.job), slot.rack)) {
     return Attempt::kClaimed;
@@ -127,7 +130,7 @@
 auto PlacementRound::Commit(TaskKey task,
                             const WaitingTask& waiting,
                             WorkerId worker) -> void {
-  cell_->DropClaim(task);
+  cell_->RemoveClaim(task);
   PlacedRecord record;
   record.worker = worker;
   record.held = waiting.need;
@@ -137,23 +140,24 @@
       {cell_->jobs().Id(task), cell_->workers().slot(worker).instance});
 }
 
-auto PlacementRound::KnownToFail(const JobGroup& job, const Amounts& need) const
-    -> bool {
-  return std::ranges::any_of(failed_, [&](const FailedNeed& failed) -> bool {
-    return failed.partner == job.partner &&
-           failed.failure_domain == job.failure_domain &&
-           Fits(failed.need, need);
-  });
+auto PlacementRound::IsNeedKnownToFail(const JobGroup& job,
+                                       const Amounts& need) const -> bool {
+  return std::ranges::any_of(
+      failed_needs_, [&](const FailedNeed& failed) -> bool {
+        return failed.partner == job.partner &&
+               failed.failure_domain == job.failure_domain &&
+               Fits(failed.need, need);
+      });
 }
 
-auto PlacementRound::KnownToBeStuck(JobId id) const -> bool {
+auto PlacementRound::IsJobKnownToFail(JobId id) const -> bool {
   const JobGroup& job = cell_->jobs().job(id);
   if (!job.common_need.has_value()) {
     return false;
   }
-  const Amounts need =
-      cell_->jobs().Expected(id, *job.common_need, cell_->workers().largest());
-  if (!KnownToFail(job, need)) {
+  const Amounts need = cell_->jobs().ExpectedNeed(id, *job.common_need,
+                                                  cell_->workers().largest());
+  if (!IsNeedKnownToFail(job, need)) {
     return false;
   }
   return std::ranges::none_of(
@@ -167,32 +171,35 @@
 }
 
 auto PlacementRound::Preempt(TaskKey task, const WaitingTask& waiting) -> bool {
-  const auto most = static_cast<std::size_t>(options_->max_evictions_per_round);
+  const auto max_count =
+      static_cast<std::size_t>(options_->max_evictions_per_round);
   const JobGroup& job = cell_->jobs().job(task.job);
-  if (cell_->Rules(job.partner).preemption().empty() || preempted_ >= most) {
+  if (cell_->Rules(job.partner).preemption().empty() ||
+      preempted_count_ >= max_count) {
     return false;
   }
-  const std::optional<Preemption> preemption = ChoosePreemption(
-      *cell_, job, waiting.need, most - preempted_, finder_->start());
+  const std::optional<Preemption> preemption =
+      ChoosePreemption(*cell_, job, waiting.need, max_count - preempted_count_,
+                       finder_->start());
   if (!preemption.has_value()) {
     return false;
   }
-  const std::string why = "makes room for " + TaskName(cell_->jobs().Id(task));
+  const std::string why = "preempted by " + TaskName(cell_->jobs().Id(task));
   for (const TaskKey victim : preemption->victims) {
     Evict(victim, why);
   }
-  preempted_ += preemption->victims.size();
-  cell_->AddClaim(
-      {task, preemption->worker, waiting.need, now_ + kPreemptionClaim});
+  preempted_count_ += preemption->victims.size();
+  cell_->AddClaim({task, preemption->worker, waiting.need,
+                   now_ + kPreemptionClaimDuration});
   return true;
 }
 
 auto PlacementRound::Reserve(TaskKey task, const WaitingTask& waiting) -> bool {
   const std::size_t workers = cell_->workers().slots().size();
-  const std::size_t most =
+  const std::size_t max_count =
       std::max<std::size_t>(1, workers / kWorkersPerReservation);
   if (now_ - waiting.since < options_->ageing ||
-      cell_->claims().size() >= most) {
+      cell_->claims().size() >= max_count) {
     return false;
   }
   const std::optional<WorkerId> worker =
--- a/Source/Placement/placement_round.h
+++ b/Source/Placement/placement_round.h
@@ -14,8 +14,9 @@
 
 namespace rhubarbhaven {
 
-// One call of `Placer::Decide`: walks the waiting jobs in their order, places
-// what fits, and claims room for what may displace others or has waited long.
+// One call of `Placer::Decide`. Serves the waiting jobs in order, places the
+// tasks that fit, and claims resources for tasks that may preempt others or
+// have waited long.
 class PlacementRound {
  public:
   PlacementRound(CellState* cell,
@@ -23,13 +24,13 @@
                  const PlacerOptions* options,
                  TimePoint now);
 
-  // `turn` counts placements over all rounds.
+  // `turn` counts the placements of all rounds.
   auto Run(std::size_t limit, uint64_t& turn) -> PlacerRound;
 
  private:
-  // A need for which no worker had room earlier in this round. Another that
-  // is at least as large, of the same partner and failure domain, is not
-  // searched for again.
+  // A need that fitted on no worker earlier in this round. No search is made
+  // for another need of the same partner and failure domain that is at least
+  // as large.
   struct FailedNeed {
     uint32_t partner = 0;
     uint32_t failure_domain = 0;
@@ -38,23 +39,26 @@
 
   enum class Attempt {
     kPlaced,
-    kNoPlace,
-    // Room is kept for it, and not free yet.
+    kNotPlaced,
+    // Resources are claimed for the task but not free yet.
     kClaimed,
   };
 
   auto EvictFromOvercommitted() -> void;
-  // Places the job's next task that fits; false if none of those tried does.
-  auto PlaceOneOf(JobId id) -> bool;
+  // Places the job's next task that fits. Returns false if none of the tasks
+  // tried could be placed.
+  auto PlaceNextTask(JobId id) -> bool;
   auto TryTask(TaskKey task) -> Attempt;
   auto TryClaim(PlaceClaim claim, const WaitingTask& waiting) -> Attempt;
   auto Commit(TaskKey task, const WaitingTask& waiting, WorkerId worker)
       -> void;
-  auto KnownToFail(const JobGroup& job, const Amounts& need) const -> bool;
-  // All the job's tasks have one need, and no worker has room for it.
-  auto KnownToBeStuck(JobId id) const -> bool;
-  // No worker has room: displaces others, or keeps room from now on. False if
-  // neither may be done.
+  auto IsNeedKnownToFail(const JobGroup& job, const Amounts& need) const
+      -> bool;
+  // Returns true if all waiting tasks of the job have the same need, that need
+  // is known to fail, and none of them has a claim.
+  auto IsJobKnownToFail(JobId id) const -> bool;
+  // Preempts other tasks or reserves resources for a task that fits on no
+  // worker. Returns false if neither is possible.
   auto MakeRoom(TaskKey task, const WaitingTask& waiting) -> bool;
   auto Preempt(TaskKey task, const WaitingTask& waiting) -> bool;
   auto Reserve(TaskKey task, const WaitingTask& waiting) -> bool;
@@ -65,8 +69,8 @@
   const PlacerOptions* options_;
   TimePoint now_;
   PlacerRound round_;
-  std::vector<FailedNeed> failed_;
-  std::size_t preempted_ = 0;
+  std::vector<FailedNeed> failed_needs_;
+  std::size_t preempted_count_ = 0;
 };
 
 }  // namespace rhubarbhaven
--- a/Source/Placement/placer.cc
+++ b/Source/Placement/placer.cc
@@ -12,8 +12,9 @@
 namespace {
 
 auto UnsavedSeconds(std::chrono::seconds unsaved) -> uint32_t {
-  constexpr int64_t kMost = 0xFFFFFFFF;
-  return static_cast<uint32_t>(std::clamp<int64_t>(unsaved.count(), 0, kMost));
+  constexpr int64_t kMaxSeconds = 0xFFFFFFFF;
+  return static_cast<uint32_t>(
+      std::clamp<int64_t>(unsaved.count(), 0, kMaxSeconds));
 }
 
 }  // namespace
@@ -37,7 +38,7 @@
   }
 
   auto RemoveWaiting(TaskKey key) -> void {
-    cell_.DropClaim(key);
+    cell_.RemoveClaim(key);
     cell_.jobs().RemoveWaiting(key);
   }
 
@@ -52,7 +53,7 @@
 
   auto RemoveJob(const std::string& partner, const std::string& job) -> void {
     for (const JobId id : cell_.jobs().Versions(partner, job)) {
-      cell_.DropClaimsOfJob(id);
+      cell_.RemoveClaimsOfJob(id);
       cell_.jobs().ClearWaiting(id);
       cell_.jobs().ReleaseIfEmpty(id);
     }
@@ -60,9 +61,9 @@
 
   auto AddPlaced(PlacedTask task) -> void {
     PlacedRecord record;
-    record.worker = cell_.workers().FindOrMake(task.instance);
+    record.worker = cell_.workers().FindOrAdd(task.instance);
     record.held = FromMessage(task.held);
-    record.unsaved_s = UnsavedSeconds(task.unsaved_progress);
+    record.unsaved_progress_s = UnsavedSeconds(task.unsaved_progress);
     record.evictions = task.evictions;
     record.stopping = task.stopping;
     record.confirmed = true;
@@ -71,7 +72,7 @@
     RemoveWaiting(key);
     const PlacedRecord* known = cell_.FindPlaced(key);
     if (known != nullptr) {
-      KeepWhatIsKnown(*known, record);
+      MergeWithKnown(*known, record);
       cell_.Unplace(key);
     }
     cell_.Place(key, record);
@@ -96,9 +97,10 @@
   }
 
  private:
-  // A confirmation of a placement never lowers what is held, nor makes a
-  // stopping task run again.
-  static auto KeepWhatIsKnown(const PlacedRecord& known, PlacedRecord& record)
+  // Keeps the larger held amounts and the stopping state when a placement is
+  // confirmed: a confirmation never lowers the held amounts and never turns a
+  // stopping task back into a running one.
+  static auto MergeWithKnown(const PlacedRecord& known, PlacedRecord& record)
       -> void {
     if (known.worker == record.worker) {
       record.held = Larger(record.held, known.held);
@@ -163,10 +165,10 @@
 }
 
 auto Placer::RaiseHeld(const schema::TaskId& task,
-                       const schema::Resources& seen) -> void {
+                       const schema::Resources& usage) -> void {
   const std::optional<TaskKey> key = impl_->cell().jobs().Find(task);
   if (key.has_value()) {
-    impl_->cell().Raise(*key, FromMessage(seen));
+    impl_->cell().RaiseUsage(*key, FromMessage(usage));
   }
 }
 
@@ -198,7 +200,7 @@
   if (!id.has_value() || !workers.slot(*id).known) {
     return std::nullopt;
   }
-  return ToMessage(workers.Unheld(*id));
+  return ToMessage(workers.FreeIgnoringClaims(*id));
 }
 
 }  // namespace rhubarbhaven
--- a/Source/Placement/placer.h
+++ b/Source/Placement/placer.h
@@ -12,30 +12,30 @@
 
 namespace rhubarbhaven {
 
-// "partner/job#index@version": one task of one job.
+// Returns "partner/job#index@version", the full name of a task.
 auto TaskName(const schema::TaskId& task) -> std::string;
 
 // A worker as the placer sees it.
 struct WorkerState {
   std::string instance;
   std::string partner;
-  // Other partners whose tasks it takes.
+  // Other partners whose tasks the worker accepts.
   std::vector<std::string> open_to;
   std::string rack;
   std::string failure_domain;
   schema::Resources capacity;
-  // Reserved for the endpoint and other work that is not placed here.
+  // Reserved for the endpoint and other work that the placer does not manage.
   schema::Resources reserved;
-  // Takes new work: alive, leased, not draining, not set aside.
+  // Accepts new work: alive, leased, not draining and not quarantined.
   bool accepting = false;
 };
 
-// A task that waits for a place.
+// A task that waits for placement.
 struct PendingTask {
   schema::TaskId task;
   uint32_t attempt = 1;
   std::string team;
-  // The larger of what was declared and what was seen of earlier attempts.
+  // Maximum of the declared need and the usage reported for earlier attempts.
   schema::Resources need;
   schema::Urgency urgency = schema::NORMAL;
   uint32_t priority = 0;
@@ -45,13 +45,13 @@
   TimePoint waiting_since;
 };
 
-// A task that holds a place, until its stop is confirmed.
+// A task that is placed on an instance, until its stop is confirmed.
 struct PlacedTask {
   PendingTask spec;
   std::string instance;
-  // The larger of admitted and seen.
+  // Maximum of the admitted need and the reported usage.
   schema::Resources held;
-  // Work that an eviction now would lose.
+  // Progress that would be lost if the task were evicted now.
   std::chrono::seconds unsaved_progress{0};
   uint32_t evictions = 0;
   bool stopping = false;
@@ -72,26 +72,28 @@
   std::vector<EvictDecision> evictions;
 };
 
-// Why a task waits, for operators.
+// Explains to operators why a task waits.
 struct Explanation {
-  // True if no worker of the register could ever hold it.
-  bool never = false;
+  // The task can never run: no registered worker could hold it even when
+  // empty, or it exceeds its team's quota.
+  bool can_never_run = false;
   std::string text;
 };
 
 struct PlacerOptions {
-  // A task that waits this long counts as one urgency class higher.
+  // A task is promoted by one urgency class each time it has waited this long.
   std::chrono::seconds ageing{600};
   int max_evictions_per_round = 4;
-  // Cost of running a task on an instance, beyond fit; for interference. The
-  // cost of fit and spread is about 0 to 2. Infinite forbids the instance for
-  // now.
+  // Additional cost of running a task on an instance, such as interference.
+  // The cost of fit and spread is about 0 to 2. An infinite cost excludes the
+  // instance from this search.
   std::function<auto(const PendingTask&, const std::string& instance)->double>
       extra_cost;
 };
 
-// Keeps workers, placed and waiting tasks of one cell, and decides rounds.
-// Jobs are held as groups, so that cancelling one costs O(1).
+// Tracks the workers and the placed and waiting tasks of one cell, and decides
+// placements and evictions in rounds. Waiting tasks are grouped by job, so that
+// cancelling a job costs O(1).
 class Placer {
  public:
   explicit Placer(PlacerOptions options);
@@ -105,30 +107,32 @@
       -> void;
   auto SetTeam(const std::string& partner, const schema::Team& team) -> void;
 
-  // Ignored while the task holds a place.
+  // Ignored while the task is placed.
   auto AddPending(PendingTask task) -> void;
   auto RemovePending(const schema::TaskId& task) -> void;
-  // All waiting tasks of a job.
+  // Removes all waiting tasks of a job, in every version.
   auto RemoveJob(const std::string& partner, const std::string& job) -> void;
   auto AddPlaced(PlacedTask task) -> void;
   auto SetStopping(const schema::TaskId& task) -> void;
-  // Usage seen of a placed task; only ever raises what is held.
-  auto RaiseHeld(const schema::TaskId& task, const schema::Resources& seen)
+  // Raises the held amounts of a placed task to the reported usage; never
+  // lowers them.
+  auto RaiseHeld(const schema::TaskId& task, const schema::Resources& usage)
       -> void;
-  // The stop is confirmed; the place is free.
+  // Releases the resources of a task whose stop is confirmed.
   auto RemovePlaced(const schema::TaskId& task) -> void;
 
-  // Decides at most `limit` placements. A decided placement is taken as held
-  // at once (the caller confirms by AddPlaced or undoes by RemovePlaced, then
-  // AddPending); only a confirmed one may be evicted for another. A task to be
-  // evicted counts as stopping from then on, and is not named again; the caller
-  // sees its stop through.
+  // Decides at most `limit` placements. The resources of a decided placement
+  // are held at once. The caller confirms it by AddPlaced, or undoes it by
+  // RemovePlaced followed by AddPending; only a confirmed task may be preempted
+  // for another. A task chosen for eviction counts as stopping from then on and
+  // is not chosen again; the caller must complete its stop.
   auto Decide(TimePoint now, std::size_t limit) -> PlacerRound;
   auto Explain(TimePoint now, const schema::TaskId& task) const -> Explanation;
 
   auto pending() const -> std::size_t;
   auto placed() const -> std::size_t;
-  // What is free on an instance; never negative.
+  // Free resources of an instance, ignoring claims; never negative. None if the
+  // instance is not registered.
   auto free(const std::string& instance) const
       -> std::optional<schema::Resources>;
 
--- a/Source/Placement/preemption.cc
+++ b/Source/Placement/preemption.cc
@@ -9,17 +9,19 @@
 namespace rhubarbhaven {
 namespace {
 
-// Workers whose tasks are looked at, and possible choices compared, at most.
-constexpr std::size_t kWorkersTried = 256;
-constexpr std::size_t kChoicesCompared = 32;
-// A task that was evicted this often is not preempted again: without this, a
-// busy cell would evict the same cheap task over and over, and it would never
-// end. Seen as an `evictions` figure that grows while the job stands still.
-constexpr uint32_t kMostEvictions = 3;
-// Costs in seconds of lost work.
-constexpr double kEvictionItself = 60;
-constexpr double kEachEarlierEviction = 300;
-constexpr double kCostlyJob = 1e7;
+// Maximum number of workers whose tasks are examined, and of victim sets that
+// are compared.
+constexpr std::size_t kMaxWorkersTried = 256;
+constexpr std::size_t kMaxChoicesCompared = 32;
+// A task that was evicted this often is not preempted again. Without the limit,
+// a busy cell would evict the same cheap task repeatedly and it would never
+// finish. The symptom is an `evictions` count that grows while the job makes no
+// progress.
+constexpr uint32_t kMaxEvictions = 3;
+// Costs of an eviction, in seconds of lost work.
+constexpr double kBaseEvictionCost = 60;
+constexpr double kCostPerEarlierEviction = 300;
+constexpr double kCostlyJobCost = 1e7;
 
 struct Victim {
   TaskKey task;
@@ -54,16 +56,18 @@
              victim.partner_name + "/" + rule.victim_team();
 }
 
-auto StandsHigher(const JobGroup& preemptor, const JobGroup& victim) -> bool {
+auto HasHigherPrecedence(const JobGroup& preemptor, const JobGroup& victim)
+    -> bool {
   const int by_urgency =
       UrgencyRank(preemptor.urgency) - UrgencyRank(victim.urgency);
   return by_urgency > 0 ||
          (by_urgency == 0 && preemptor.priority > victim.priority);
 }
 
-// Free on the worker once all that is stopping there has stopped.
-auto FreeSoon(const CellState& cell, WorkerId worker) -> Amounts {
-  Amounts free = cell.workers().Unheld(worker);
+// Returns the amounts free on the worker, minus claims, once all tasks that are
+// stopping there have stopped.
+auto FreeAfterStops(const CellState& cell, WorkerId worker) -> Amounts {
+  Amounts free = cell.workers().FreeIgnoringClaims(worker);
   free -= cell.workers().slot(worker).claimed;
   for (const TaskKey task : cell.workers().slot(worker).tasks) {
     const PlacedRecord* placed = cell.FindPlaced(task);
@@ -95,13 +99,13 @@
   return victims;
 }
 
-// Takes victims, cheapest first, until the need fits; then spares those, most
-// costly first, without which it fits too.
+// Adds victims, cheapest first, until the need fits. Then removes those whose
+// eviction is not needed for the fit, most expensive first.
 auto ChooseOn(const CellState& cell,
               const JobGroup& preemptor,
               const Amounts& need,
               WorkerId worker) -> std::optional<Choice> {
-  Amounts free = FreeSoon(cell, worker);
+  Amounts free = FreeAfterStops(cell, worker);
   std::vector<Victim> chosen;
   if (!Fits(need, free)) {
     for (const Victim& victim : VictimsOn(cell, preemptor, worker)) {
@@ -136,17 +140,18 @@
                             job.failure_domain == slot.failure_domain;
   return slot.accepting && right_domain && Fits(need, slot.usable) &&
          RackHasRoom(job, slot.rack) &&
-         cell.workers().Takes(worker, job.partner);
+         cell.workers().AcceptsPartner(worker, job.partner);
 }
 
-// Memory that the task was seen to use; what it holds while nothing was seen.
+// Returns the peak memory use reported for the task, or the memory that it
+// holds if none was reported.
 auto UsedMemory(const PlacedRecord& placed) -> int64_t {
-  return placed.used_memory_mb == 0 ? placed.held.memory_mb
-                                    : placed.used_memory_mb;
+  return placed.peak_memory_mb == 0 ? placed.held.memory_mb
+                                    : placed.peak_memory_mb;
 }
 
-// Sum of the shares of the amounts in the largest there are.
-auto ShareOf(const Amounts& amounts, const Amounts& largest) -> double {
+// Returns the sum of the amounts, each as a share of the largest one.
+auto SumOfShares(const Amounts& amounts, const Amounts& largest) -> double {
   const auto share = [](int64_t part, int64_t whole) -> double {
     return whole <= 0 ? 0
                       : static_cast<double>(part) / static_cast<double>(whole);
@@ -177,7 +182,7 @@
   if (!same_partner && preemptor.partner != host) {
     return false;
   }
-  if (!StandsHigher(preemptor, victim)) {
+  if (!HasHigherPrecedence(preemptor, victim)) {
     return false;
   }
   const schema::PartnerRules& rules = cell.Rules(preemptor.partner);
@@ -190,15 +195,16 @@
 auto EvictionCost(const CellState& cell,
                   TaskKey task,
                   const PlacedRecord& placed) -> double {
-  if (placed.evictions >= kMostEvictions) {
+  if (placed.evictions >= kMaxEvictions) {
     return std::numeric_limits<double>::infinity();
   }
   const JobGroup& job = cell.jobs().job(task.job);
-  // Equal weights leave the lost seconds as they are.
+  // With equal weights the scale is 1.
   const double scale = 3 * EvictionShare(cell.Rules(job.partner));
-  const double lost = kEvictionItself + placed.unsaved_s +
-                      kEachEarlierEviction * placed.evictions;
-  return lost * std::max(scale, 0.1) + (job.costly_to_evict ? kCostlyJob : 0);
+  const double lost = kBaseEvictionCost + placed.unsaved_progress_s +
+                      kCostPerEarlierEviction * placed.evictions;
+  return lost * std::max(scale, 0.1) +
+         (job.costly_to_evict ? kCostlyJobCost : 0);
 }
 
 auto ChoosePreemption(const CellState& cell,
@@ -211,7 +217,7 @@
   std::size_t compared = 0;
   const std::size_t count = cell.workers().slots().size();
   for (std::size_t passed = 0; passed < count; ++passed) {
-    if (tried == kWorkersTried || compared == kChoicesCompared) {
+    if (tried == kMaxWorkersTried || compared == kMaxChoicesCompared) {
       break;
     }
     const auto worker = static_cast<WorkerId>((start + passed) % count);
@@ -247,8 +253,9 @@
         !MayRunOn(cell, job, need, worker)) {
       continue;
     }
-    const Amounts missing = Larger(need - FreeSoon(cell, worker), Amounts{});
-    const double share = ShareOf(missing, largest);
+    const Amounts missing =
+        Larger(need - FreeAfterStops(cell, worker), Amounts{});
+    const double share = SumOfShares(missing, largest);
     if (share < best_missing) {
       best = worker;
       best_missing = share;
@@ -275,12 +282,12 @@
   double best_cost = std::numeric_limits<double>::infinity();
   for (const TaskKey task : slot.tasks) {
     const PlacedRecord* placed = cell.FindPlaced(task);
-    // One that frees too little would be followed by another.
+    // A task that frees too little memory would require another eviction.
     const double shortfall =
         std::max<double>(0, static_cast<double>(over - UsedMemory(*placed)));
     const double cost =
-        std::min(EvictionCost(cell, task, *placed), 2 * kCostlyJob) +
-        shortfall * 4 * kCostlyJob;
+        std::min(EvictionCost(cell, task, *placed), 2 * kCostlyJobCost) +
+        shortfall * 4 * kCostlyJobCost;
     if (cost < best_cost) {
       best = task;
       best_cost = cost;
--- a/Source/Placement/run_history.cc
+++ b/Source/Placement/run_history.cc
@@ -10,11 +10,11 @@
          left.job() == right.job() && left.partner() == right.partner();
 }
 
-auto Run::RanAt(TimePoint when) const -> bool {
+auto Run::WasRunningAt(TimePoint when) const -> bool {
   return started <= when && (!stopped.has_value() || when < *stopped);
 }
 
-auto Run::ThrottledAt(TimePoint when) const -> bool {
+auto Run::WasThrottledAt(TimePoint when) const -> bool {
   const auto after = std::ranges::upper_bound(throttle_changes, when);
   return (after - throttle_changes.begin()) % 2 == 1;
 }
@@ -43,7 +43,7 @@
                               const schema::TaskId& task,
                               bool throttled) -> void {
   Run* run = FindRunning(task);
-  if (run != nullptr && run->ThrottledAt(now) != throttled) {
+  if (run != nullptr && run->WasThrottledAt(now) != throttled) {
     run->throttle_changes.push_back(now);
   }
 }
--- a/Source/Placement/run_history.h
+++ b/Source/Placement/run_history.h
@@ -9,27 +9,29 @@
 
 namespace rhubarbhaven {
 
-// One task's stay on an instance.
+// One run of a task on an instance.
 struct Run {
   schema::TaskId task;
   TimePoint started;
-  // None while it runs.
+  // None while the task runs.
   std::optional<TimePoint> stopped;
   bool costly_to_evict = false;
-  // Asked to move away.
+  // A move to another instance was requested.
   bool leaving = false;
-  // Times at which it was throttled, unthrottled, throttled ...
+  // Times at which the task was alternately throttled and unthrottled.
   std::vector<TimePoint> throttle_changes;
 
-  auto RanAt(TimePoint when) const -> bool;
-  auto ThrottledAt(TimePoint when) const -> bool;
+  auto WasRunningAt(TimePoint when) const -> bool;
+  auto WasThrottledAt(TimePoint when) const -> bool;
 };
 
-// What ran on one instance, now and as far back as reports may reach.
+// The runs on one instance, current ones and those that late reports may still
+// refer to.
 //
-// A report is up to a minute old when it comes. Blaming what runs at that
-// time would throttle the task that came last for what its predecessor did;
-// one would see steps taken against jobs that are harmless when run alone.
+// A report is up to a minute old when it arrives. Attributing it to the tasks
+// that run on arrival would throttle a task for the slowdown that its
+// predecessor caused; the symptom is steps taken against jobs that are harmless
+// when they run alone.
 class RunHistory {
  public:
   auto Start(TimePoint now, const schema::TaskId& task, bool costly_to_evict)
@@ -38,7 +40,7 @@
   auto SetThrottled(TimePoint now, const schema::TaskId& task, bool throttled)
       -> void;
   auto SetLeaving(const schema::TaskId& task) -> void;
-  // Forgets runs that stopped before `oldest`.
+  // Removes runs that stopped before `oldest`.
   auto Prune(TimePoint oldest) -> void;
 
   auto runs() const -> const std::vector<Run>& { return runs_; }
--- a/Source/Placement/step_control.h
+++ b/Source/Placement/step_control.h
@@ -10,17 +10,17 @@
 
 namespace rhubarbhaven {
 
-// What a partner's weights make of the steps.
+// The weights of a partner's rules, normalized.
 struct StepWeights {
-  // Shares of the whole; equal weights give a third each.
+  // Shares of the sum of all weights; equal weights give a third each.
   double tail_latency = 1.0 / 3;
   double batch_throughput = 1.0 / 3;
   double evictions = 1.0 / 3;
 };
 
-auto WeightsOf(const schema::PartnerRules& rules) -> StepWeights;
+auto NormalizedWeights(const schema::PartnerRules& rules) -> StepWeights;
 
-// A running task as the choice of a step sees it.
+// A running task as input to the choice of a step.
 struct RunningEffect {
   schema::TaskId task;
   // Expected log(slowdown) when not throttled.
@@ -28,13 +28,13 @@
   bool throttled = false;
   bool costly_to_evict = false;
   bool leaving = false;
-  // Of the task's partner.
+  // Weights of the task's partner.
   StepWeights weights;
 };
 
-// The state of one instance as it is expected to be now.
+// The expected current state of one instance.
 struct InstanceLevel {
-  // Log of the service's p99 over its target, without any task.
+  // Expected log of the service's p99 over its target without any task.
   double base = 0;
   // Log of the latest measured p99 over target, and when it was measured.
   double measured = 0;
@@ -43,9 +43,10 @@
   StepWeights service_weights;
 };
 
-// Chooses steps on one instance: throttle what hurts most; if throttling all
-// that hurts does not suffice, move one task away; take throttling back when
-// the service is at ease and is expected to stay so.
+// Chooses steps on one instance. Throttles the task with the largest effect; if
+// throttling all tasks with an effect is not enough, moves one task to another
+// instance; unthrottles a task when the service is well below its target and is
+// expected to stay below the threshold for steps.
 class StepControl {
  public:
   auto Choose(TimePoint now,
@@ -68,12 +69,13 @@
   bool stepped_ = false;
 };
 
-// Log of the slowdown at which steps begin, by the partner's weights.
-auto ActLevel(const InterferenceOptions& options, const StepWeights& weights)
-    -> double;
-// What is left of a task's effect.
-auto EffectNow(const InterferenceOptions& options, const RunningEffect& task)
-    -> double;
+// Returns the log(slowdown) above which steps are taken, by the weights of the
+// service's partner.
+auto ActThreshold(const InterferenceOptions& options,
+                  const StepWeights& weights) -> double;
+// Returns the task's current effect, reduced if it is throttled.
+auto CurrentEffect(const InterferenceOptions& options,
+                   const RunningEffect& task) -> double;
 
 }  // namespace rhubarbhaven
 
--- a/Source/Placement/task_key.h
+++ b/Source/Placement/task_key.h
@@ -6,10 +6,10 @@
 
 namespace rhubarbhaven {
 
-// Number of a job in a `JobTable`.
+// Index of a job in a `JobTable`.
 using JobId = uint32_t;
 
-// A task within one placer: its job's number and its index in the job.
+// Identifies a task within one placer by its job and its index in the job.
 struct TaskKey {
   JobId job = 0;
   uint32_t index = 0;
--- a/Source/Placement/team_quotas.h
+++ b/Source/Placement/team_quotas.h
@@ -8,17 +8,17 @@
 
 namespace rhubarbhaven {
 
-// What each team may hold at once, and holds. A dimension whose quota is zero
-// is not limited, and neither is a team without a quota.
+// The resource quota and usage of each team. A dimension whose quota is zero is
+// not limited, and neither is a team without a quota.
 class TeamQuotas {
  public:
   auto Set(uint32_t team, const Amounts& quota) -> void;
   auto Charge(uint32_t team, const Amounts& amounts) -> void;
   auto Refund(uint32_t team, const Amounts& amounts) -> void;
 
-  // What the team may take on; `kLargestAmount` where it is not limited.
+  // Returns the remaining quota; `kLargestAmount` where it is not limited.
   auto Room(uint32_t team) const -> Amounts;
-  // The quota itself, in the same form.
+  // Returns the quota itself; `kLargestAmount` where it is not limited.
   auto Limit(uint32_t team) const -> Amounts;
 
  private:
--- a/Source/Placement/worker_health.cc
+++ b/Source/Placement/worker_health.cc
@@ -10,14 +10,15 @@
 namespace rhubarbhaven {
 namespace {
 
-// Jobs that were never tried elsewhere count half: they may be at fault.
-constexpr int kUntriedFactor = 2;
-// What is known of a job is forgotten when it ended nowhere for this long.
-constexpr std::chrono::hours kJobMemory{6};
+// Jobs that were never tried elsewhere count half, since they may themselves be
+// at fault.
+constexpr int kUntriedJobsFactor = 2;
+// The record of a job is removed when no task of it has ended for this long.
+constexpr std::chrono::hours kJobRetention{6};
 constexpr uint64_t kPruneEvery = 4096;
 
 struct JobRecord {
-  // Instances on which it failed, and not finished since.
+  // Instances on which the job failed and has not finished since.
   absl::flat_hash_set<std::string> failed_on;
   std::optional<TimePoint> finished;
   std::string finished_on;
@@ -32,11 +33,11 @@
 struct WorkerRecord {
   // First failure of each distinct job since the last success.
   std::vector<JobFailure> streak;
-  bool set_aside = false;
-  TimePoint pause_ends;
-  std::chrono::seconds pause{0};
+  bool quarantined = false;
+  TimePoint quarantine_ends;
+  std::chrono::seconds quarantine_duration{0};
   std::optional<TimePoint> probe_started;
-  std::string why;
+  std::string reason;
 };
 
 auto JobName(const schema::TaskId& task) -> std::string {
@@ -49,11 +50,11 @@
  public:
   explicit Impl(WorkerHealthOptions options) : options_(options) {}
 
-  auto OnEnd(TimePoint now,
-             const std::string& instance,
-             const schema::TaskId& task,
-             schema::TaskOutcome outcome) -> void {
-    PruneSometimes(now);
+  auto OnTaskEnded(TimePoint now,
+                   const std::string& instance,
+                   const schema::TaskId& task,
+                   schema::TaskOutcome outcome) -> void {
+    PrunePeriodically(now);
     switch (outcome) {
       case schema::FINISHED:
         OnFinished(now, instance, JobName(task));
@@ -62,37 +63,38 @@
         OnFailed(now, instance, JobName(task));
         return;
       default:
-        // Says nothing about the worker; a probe may be tried again at once.
+        // The outcome gives no evidence about the worker, so another probe may
+        // start at once.
         workers_[instance].probe_started.reset();
     }
   }
 
   auto Check(TimePoint now, const std::string& instance) const -> Verdict {
     const auto entry = workers_.find(instance);
-    if (entry == workers_.end() || !entry->second.set_aside) {
+    if (entry == workers_.end() || !entry->second.quarantined) {
       return Verdict::kHealthy;
     }
     const WorkerRecord& worker = entry->second;
-    if (now < worker.pause_ends) {
-      return Verdict::kSetAside;
+    if (now < worker.quarantine_ends) {
+      return Verdict::kQuarantined;
     }
     const bool probing = worker.probe_started.has_value() &&
-                         now - *worker.probe_started < options_.longest_pause;
-    return probing ? Verdict::kSetAside : Verdict::kProbe;
+                         now - *worker.probe_started < options_.max_quarantine;
+    return probing ? Verdict::kQuarantined : Verdict::kProbe;
   }
 
   auto OnProbeStarted(TimePoint now, const std::string& instance) -> void {
     workers_[instance].probe_started = now;
   }
 
-  auto Why(const std::string& instance) const -> std::string {
+  auto QuarantineReason(const std::string& instance) const -> std::string {
     const auto entry = workers_.find(instance);
-    return entry == workers_.end() ? "" : entry->second.why;
+    return entry == workers_.end() ? "" : entry->second.reason;
   }
 
-  auto FailedHere(const std::string& instance,
-                  const std::string& partner,
-                  const std::string& job) const -> bool {
+  auto HasFailedOn(const std::string& instance,
+                   const std::string& partner,
+                   const std::string& job) const -> bool {
     const auto entry = jobs_.find(partner + "/" + job);
     return entry != jobs_.end() && entry->second.failed_on.contains(instance);
   }
@@ -107,9 +109,10 @@
     record.finished = now;
     record.finished_on = instance;
     record.failed_on.erase(instance);
-    // The job itself is fine, which tells against those on which it failed.
+    // The job is not at fault, which is evidence against the workers on which
+    // it failed.
     for (const std::string& other : record.failed_on) {
-      Judge(now, other);
+      Evaluate(now, other);
     }
   }
 
@@ -120,7 +123,7 @@
     record.latest = now;
     record.failed_on.insert(instance);
     WorkerRecord& worker = workers_[instance];
-    if (worker.set_aside) {
+    if (worker.quarantined) {
       OnProbeFailed(now, job, worker);
       return;
     }
@@ -128,34 +131,36 @@
     if (known == worker.streak.end()) {
       worker.streak.push_back({job, now});
     }
-    Judge(now, instance);
+    Evaluate(now, instance);
   }
 
-  // A job that fails elsewhere too proves nothing, so the pause does not grow.
+  // A job that also failed elsewhere is no evidence against the worker, so the
+  // quarantine is not extended for it.
   auto OnProbeFailed(TimePoint now,
                      const std::string& job,
                      WorkerRecord& worker) const -> void {
     worker.probe_started.reset();
     const bool job_at_fault = jobs_.find(job)->second.failed_on.size() > 1;
     if (!job_at_fault) {
-      worker.pause = std::min(worker.pause * 2, options_.longest_pause);
+      worker.quarantine_duration =
+          std::min(worker.quarantine_duration * 2, options_.max_quarantine);
     }
-    worker.pause_ends = now + worker.pause;
+    worker.quarantine_ends = now + worker.quarantine_duration;
   }
 
-  // Sets a worker aside when enough distinct jobs failed on it in a row that
-  // finished elsewhere after that, or that nobody else has failed yet.
+  // Quarantines a worker when enough distinct jobs failed on it in a row that
+  // have since finished elsewhere, or that have failed on no other worker.
   //
-  // Counting failures alone would set aside every worker on which a broken
-  // job lands, and all workers when something they share is down: the cell
-  // would empty while nothing is wrong with its instances.
-  auto Judge(TimePoint now, const std::string& instance) -> void {
+  // Counting failures alone would quarantine every worker on which a broken
+  // job is placed, and all workers when a shared dependency is down. The cell
+  // would then run nothing although its instances are healthy.
+  auto Evaluate(TimePoint now, const std::string& instance) -> void {
     const auto entry = workers_.find(instance);
-    if (entry == workers_.end() || entry->second.set_aside) {
+    if (entry == workers_.end() || entry->second.quarantined) {
       return;
     }
     WorkerRecord& worker = entry->second;
-    int fine_elsewhere = 0;
+    int finished_elsewhere = 0;
     int untried_elsewhere = 0;
     for (const JobFailure& failure : worker.streak) {
       const auto job = jobs_.find(failure.job);
@@ -165,37 +170,38 @@
       const JobRecord& record = job->second;
       if (record.finished.has_value() && *record.finished >= failure.when &&
           record.finished_on != instance) {
-        ++fine_elsewhere;
+        ++finished_elsewhere;
       } else if (record.failed_on.size() == 1) {
         ++untried_elsewhere;
       }
     }
-    if (fine_elsewhere >= options_.distinct_jobs ||
-        fine_elsewhere + untried_elsewhere >=
-            options_.distinct_jobs * kUntriedFactor) {
-      SetAside(now, fine_elsewhere, worker);
+    if (finished_elsewhere >= options_.distinct_jobs ||
+        finished_elsewhere + untried_elsewhere >=
+            options_.distinct_jobs * kUntriedJobsFactor) {
+      Quarantine(now, finished_elsewhere, worker);
     }
   }
 
-  auto SetAside(TimePoint now, int fine_elsewhere, WorkerRecord& worker) const
-      -> void {
-    worker.set_aside = true;
-    worker.pause = options_.first_pause;
-    worker.pause_ends = now + worker.pause;
+  auto Quarantine(TimePoint now,
+                  int finished_elsewhere,
+                  WorkerRecord& worker) const -> void {
+    worker.quarantined = true;
+    worker.quarantine_duration = options_.initial_quarantine;
+    worker.quarantine_ends = now + worker.quarantine_duration;
     worker.probe_started.reset();
-    worker.why = std::to_string(worker.streak.size()) +
-                 " jobs failed there in a row, " +
-                 std::to_string(fine_elsewhere) +
-                 " of which finished elsewhere since; the last was " +
-                 worker.streak.back().job;
+    worker.reason = std::to_string(worker.streak.size()) +
+                    " distinct jobs failed there in a row, " +
+                    std::to_string(finished_elsewhere) +
+                    " of which have since finished elsewhere; the last was " +
+                    worker.streak.back().job;
   }
 
-  auto PruneSometimes(TimePoint now) -> void {
+  auto PrunePeriodically(TimePoint now) -> void {
     if (++ends_ % kPruneEvery != 0) {
       return;
     }
     absl::erase_if(jobs_, [now](const auto& entry) -> bool {
-      return now - entry.second.latest > kJobMemory;
+      return now - entry.second.latest > kJobRetention;
     });
   }
 
@@ -210,11 +216,11 @@
 
 WorkerHealth::~WorkerHealth() = default;
 
-auto WorkerHealth::OnEnd(TimePoint now,
-                         const std::string& instance,
-                         const schema::TaskId& task,
-                         schema::TaskOutcome outcome) -> void {
-  impl_->OnEnd(now, instance, task, outcome);
+auto WorkerHealth::OnTaskEnded(TimePoint now,
+                               const std::string& instance,
+                               const schema::TaskId& task,
+                               schema::TaskOutcome outcome) -> void {
+  impl_->OnTaskEnded(now, instance, task, outcome);
 }
 
 auto WorkerHealth::Check(TimePoint now, const std::string& instance) const
@@ -227,14 +233,15 @@
   impl_->OnProbeStarted(now, instance);
 }
 
-auto WorkerHealth::Why(const std::string& instance) const -> std::string {
-  return impl_->Why(instance);
+auto WorkerHealth::QuarantineReason(const std::string& instance) const
+    -> std::string {
+  return impl_->QuarantineReason(instance);
 }
 
-auto WorkerHealth::FailedHere(const std::string& instance,
-                              const std::string& partner,
-                              const std::string& job) const -> bool {
-  return impl_->FailedHere(instance, partner, job);
+auto WorkerHealth::HasFailedOn(const std::string& instance,
+                               const std::string& partner,
+                               const std::string& job) const -> bool {
+  return impl_->HasFailedOn(instance, partner, job);
 }
 
 }  // namespace rhubarbhaven
--- a/Source/Placement/worker_health.h
+++ b/Source/Placement/worker_health.h
@@ -10,13 +10,15 @@
 namespace rhubarbhaven {
 
 struct WorkerHealthOptions {
-  // Distinct jobs that must have failed in a row on a worker.
+  // Number of distinct jobs that must fail in a row on a worker before it is
+  // quarantined.
   int distinct_jobs = 3;
-  std::chrono::seconds first_pause{60};
-  std::chrono::seconds longest_pause{1800};
+  std::chrono::seconds initial_quarantine{60};
+  std::chrono::seconds max_quarantine{1800};
 };
 
-// Tells workers that fail everything from tasks that fail everywhere.
+// Distinguishes workers on which every task fails from jobs that fail on every
+// worker, and quarantines the former.
 class WorkerHealth {
  public:
   explicit WorkerHealth(WorkerHealthOptions options);
@@ -24,22 +26,23 @@
   auto operator=(const WorkerHealth&) -> WorkerHealth& = delete;
   ~WorkerHealth();
 
-  auto OnEnd(TimePoint now,
-             const std::string& instance,
-             const schema::TaskId& task,
-             schema::TaskOutcome outcome) -> void;
-  // Whether new work may go there: yes, no, or one task as a probe.
-  enum class Verdict { kHealthy, kSetAside, kProbe };
+  auto OnTaskEnded(TimePoint now,
+                   const std::string& instance,
+                   const schema::TaskId& task,
+                   schema::TaskOutcome outcome) -> void;
+  // Whether new work may be placed on a worker: yes, no, or one task as a
+  // probe.
+  enum class Verdict { kHealthy, kQuarantined, kProbe };
   auto Check(TimePoint now, const std::string& instance) const -> Verdict;
   auto OnProbeStarted(TimePoint now, const std::string& instance) -> void;
-  // Why the worker was set aside; empty if it was not.
-  auto Why(const std::string& instance) const -> std::string;
-  // Whether the job failed on the worker and has not finished there since; a
-  // reason to try elsewhere first, or a worker that fails fast, and so has
-  // room, would attract all the attempts of a task.
-  auto FailedHere(const std::string& instance,
-                  const std::string& partner,
-                  const std::string& job) const -> bool;
+  // Returns why the worker was quarantined; empty if it was not.
+  auto QuarantineReason(const std::string& instance) const -> std::string;
+  // Returns whether the job failed on the worker and has not finished there
+  // since. Callers prefer other workers in that case: a worker on which tasks
+  // fail fast always has room and would attract every attempt of a task.
+  auto HasFailedOn(const std::string& instance,
+                   const std::string& partner,
+                   const std::string& job) const -> bool;
 
  private:
   class Impl;
--- a/Source/Placement/worker_table.cc
+++ b/Source/Placement/worker_table.cc
@@ -5,7 +5,7 @@
 namespace rhubarbhaven {
 
 auto WorkerTable::Set(const WorkerState& state) -> void {
-  const WorkerId id = FindOrMake(state.instance);
+  const WorkerId id = FindOrAdd(state.instance);
   WorkerSlot& slot = slots_[id];
   slot.partner = names_->Intern(state.partner);
   slot.partners = {slot.partner};
@@ -42,7 +42,7 @@
   return entry->second;
 }
 
-auto WorkerTable::FindOrMake(const std::string& instance) -> WorkerId {
+auto WorkerTable::FindOrAdd(const std::string& instance) -> WorkerId {
   const auto next = static_cast<WorkerId>(slots_.size());
   const auto [entry, added] = ids_.try_emplace(instance, next);
   if (added) {
@@ -82,11 +82,11 @@
   Refresh(id);
 }
 
-auto WorkerTable::Unheld(WorkerId id) const -> Amounts {
+auto WorkerTable::FreeIgnoringClaims(WorkerId id) const -> Amounts {
   return slots_[id].usable - slots_[id].held;
 }
 
-auto WorkerTable::Takes(WorkerId id, uint32_t partner) const -> bool {
+auto WorkerTable::AcceptsPartner(WorkerId id, uint32_t partner) const -> bool {
   return std::ranges::find(slots_[id].partners, partner) !=
          slots_[id].partners.end();
 }
--- a/Source/Placement/worker_table.h
+++ b/Source/Placement/worker_table.h
@@ -15,34 +15,34 @@
 
 namespace rhubarbhaven {
 
-// Number of a worker in a `WorkerTable`.
+// Index of a worker in a `WorkerTable`.
 using WorkerId = uint32_t;
 
 struct WorkerSlot {
   std::string instance;
   uint32_t partner = kNoName;
-  // Partners whose tasks it takes, its own first.
+  // Partners whose tasks the worker accepts, its own first.
   std::vector<uint32_t> partners;
   uint32_t rack = kNoName;
   uint32_t failure_domain = kNoName;
-  // Capacity minus what is reserved; negative where more is reserved than
-  // there is, so that not even a task without need goes there.
+  // Capacity minus reserved; negative where more is reserved than the worker
+  // has, so that not even a task without a need is placed there.
   Amounts usable;
-  // Sum of what the placed tasks hold.
+  // Sum of the amounts that the placed tasks hold.
   Amounts held;
-  // Sum of what is claimed for tasks that wait for this worker.
+  // Sum of the amounts claimed for tasks that wait for this worker.
   Amounts claimed;
-  // In the register. One that left it keeps what is still held.
+  // Registered. A worker that was removed keeps the amounts still held on it.
   bool known = false;
   bool accepting = false;
   std::vector<TaskKey> tasks;
 };
 
-// What the search for a place reads of a worker; kept small and contiguous,
-// since a search may pass over every worker of the cell.
+// The part of a worker's state that a placement search reads; kept small and
+// contiguous, since a search may scan every worker of the cell.
 struct WorkerRow {
-  // Usable minus held minus claimed; all -1 for a worker that takes nothing,
-  // so that no need fits.
+  // Usable minus held minus claimed; all -1 for a worker that accepts no new
+  // work, so that no need fits.
   Amounts free;
   uint32_t access = 0;
   uint32_t rack = kNoName;
@@ -50,7 +50,7 @@
   bool has_accelerators = false;
 };
 
-// Workers of a cell with what is held on them.
+// The workers of a cell, with the resources held and claimed on them.
 class WorkerTable {
  public:
   explicit WorkerTable(NameTable* names) : names_(names) {}
@@ -58,8 +58,8 @@
   auto Set(const WorkerState& state) -> void;
   auto Remove(const std::string& instance) -> void;
   auto Find(const std::string& instance) const -> std::optional<WorkerId>;
-  // Also for an instance that is not in the register (yet).
-  auto FindOrMake(const std::string& instance) -> WorkerId;
+  // Also adds an instance that is not registered, or not yet.
+  auto FindOrAdd(const std::string& instance) -> WorkerId;
 
   auto Hold(WorkerId id, TaskKey task, const Amounts& amounts) -> void;
   auto Release(WorkerId id, TaskKey task, const Amounts& amounts) -> void;
@@ -70,16 +70,17 @@
   auto slot(WorkerId id) const -> const WorkerSlot& { return slots_[id]; }
   auto slots() const -> const std::vector<WorkerSlot>& { return slots_; }
   auto rows() const -> const std::vector<WorkerRow>& { return rows_; }
-  // Usable minus held, regardless of claims.
-  auto Unheld(WorkerId id) const -> Amounts;
-  auto Takes(WorkerId id, uint32_t partner) const -> bool;
-  // For each access number of a row, whether the partner's tasks may run.
+  // Usable minus held, ignoring claims; may be negative.
+  auto FreeIgnoringClaims(WorkerId id) const -> Amounts;
+  auto AcceptsPartner(WorkerId id, uint32_t partner) const -> bool;
+  // Returns, indexed by `WorkerRow::access`, whether the partner's tasks may
+  // run on workers with that access number.
   auto Access(uint32_t partner) const -> std::vector<char>;
-  // Workers in the register whose tasks hold more memory than is usable.
+  // Registered workers whose tasks hold more memory than is usable.
   auto overcommitted() const -> const std::set<WorkerId>& {
     return overcommitted_;
   }
-  // The largest usable amounts of any known worker, dimension by dimension.
+  // Element-wise maximum of the usable amounts of all registered workers.
   auto largest() const -> const Amounts& { return largest_; }
 
  private:
@@ -92,7 +93,7 @@
   std::vector<WorkerSlot> slots_;
   std::vector<WorkerRow> rows_;
   absl::flat_hash_map<std::string, WorkerId> ids_;
-  // Distinct sets of partners that workers take.
+  // Distinct sets of accepted partners, sorted, indexed by access number.
   std::vector<std::vector<uint32_t>> accesses_;
   std::set<WorkerId> overcommitted_;
   Amounts largest_;
--- a/Source/Tasks/owner_scheduler.cc
+++ b/Source/Tasks/owner_scheduler.cc
@@ -53,7 +53,7 @@
   const auto& partner = task.task.partner();
   const auto& job = task.task.job();
   const double harm = interference_.PlacementCost(now_, instance, partner, job);
-  const bool failed = health_.FailedHere(instance, partner, job);
+  const bool failed = health_.HasFailedOn(instance, partner, job);
   return harm + (failed ? kFailedHereCost : 0);
 }
 
@@ -212,7 +212,7 @@
   if (started_.erase(TaskName(task)) > 0) {
     interference_.OnStopped(now, instance, task);
   }
-  health_.OnEnd(now, instance, task, outcome);
+  health_.OnTaskEnded(now, instance, task, outcome);
   placer_.RemovePlaced(task);
   const RegisterJob* job = config_->FindJob(task);
   if (job != nullptr) {
@@ -300,7 +300,7 @@
   if (entry->instance.draining() || agent->leaving) {
     return "draining";
   }
-  if (health_.Check(now, instance) == WorkerHealth::Verdict::kSetAside) {
+  if (health_.Check(now, instance) == WorkerHealth::Verdict::kQuarantined) {
     return "set_aside";
   }
   if (now < agent->hold_until) {
@@ -317,7 +317,7 @@
   for (const PlaceDecision& decision : round.placements) {
     const WorkerHealth::Verdict verdict = health_.Check(now, decision.instance);
     in_flight_.insert(TaskName(decision.task));
-    if (verdict == WorkerHealth::Verdict::kSetAside) {
+    if (verdict == WorkerHealth::Verdict::kQuarantined) {
       // A probe was given out in this round; the rest waits for its outcome.
       OnPlacementVoid(now, decision.task);
       continue;
--- a/Tests/Benchmarks/Placement/bench_colocation.cc
+++ b/Tests/Benchmarks/Placement/bench_colocation.cc
@@ -1,7 +1,7 @@
-// Service p99, batch throughput, evictions and lost progress of the package's
-// policy against baselines, on both partners' shapes, in virtual time. The
-// same seeds give the same figures on every machine. Exits with 1 if a bound
-// is missed.
+// Compares service p99, batch throughput, evictions and lost progress of the
+// package's policy with those of baselines, for the load of both partners, in
+// virtual time. The same seeds give the same figures on every machine. Exits
+// with 1 if a bound is missed.
 
 #include <algorithm>
 #include <cstdio>
@@ -10,14 +10,14 @@
 #include <vector>
 
 #include "Tests/Benchmarks/Placement/colocation_policies.h"
-#include "Tests/Benchmarks/Placement/colocation_world.h"
+#include "Tests/Benchmarks/Placement/colocation_simulation.h"
 
 namespace rhubarbhaven::bench {
 namespace {
 
 constexpr uint32_t kSeeds = 3;
 
-struct Entrant {
+struct PolicyCase {
   std::string name;
   std::unique_ptr<Policy> (*make)(const std::string& partner);
 };
@@ -31,7 +31,8 @@
   return rules;
 }
 
-// The co-operative weighs throughput and evictions, Cantabria tail latency.
+// "coop" gives more weight to throughput and evictions, "cantabria" to tail
+// latency.
 auto CoopRules() -> schema::PartnerRules {
   return Rules(2, 4, 4);
 }
@@ -43,7 +44,8 @@
   return partner == "coop" ? CoopRules() : CantabriaRules();
 }
 
-// Sums over seeds, relative to the services alone.
+// Results over all seeds: the mean ratio of the p99 to that of the services
+// alone, and sums of the other figures.
 struct Score {
   double p99_ratio = 0;
   double throughput = 0;
@@ -53,25 +55,25 @@
   double lost_core_h = 0;
 };
 
-// p99 of the services alone, for each seed.
+// Returns the p99 of the services without batch tasks, for each seed.
 auto RunAlone(Shape shape) -> std::vector<double> {
   std::vector<double> p99;
   for (uint32_t seed = 1; seed <= kSeeds; ++seed) {
     shape.seed = seed;
-    p99.push_back(RunWorld(shape, nullptr).p99);
+    p99.push_back(RunSimulation(shape, nullptr).p99);
   }
   return p99;
 }
 
 auto Run(const Shape& shape,
-         const Entrant& entrant,
+         const PolicyCase& policy_case,
          const std::vector<double>& alone) -> Score {
   Score score;
   for (uint32_t seed = 1; seed <= kSeeds; ++seed) {
     Shape seeded = shape;
     seeded.seed = seed;
-    const std::unique_ptr<Policy> policy = entrant.make(shape.partner);
-    const Outcome outcome = RunWorld(seeded, policy.get());
+    const std::unique_ptr<Policy> policy = policy_case.make(shape.partner);
+    const Outcome outcome = RunSimulation(seeded, policy.get());
     score.p99_ratio += outcome.p99 / alone[seed - 1] / kSeeds;
     score.throughput += outcome.throughput;
     score.evictions += outcome.evictions;
@@ -86,8 +88,8 @@
 struct Bounds {
   double p99_ratio = 1.10;
   double throughput = 0.90;
-  // Against the package's own placer without interference control, which
-  // never moves a task. The aim is below 1.
+  // Relative to the package's placer without interference control, which never
+  // moves a task. The goal is a value below 1.
   double evictions = 1.6;
 };
 
@@ -97,7 +99,7 @@
 }
 
 auto RunShape(const Shape& shape, const Bounds& bounds) -> bool {
-  const std::vector<Entrant> entrants = {
+  const std::vector<PolicyCase> policy_cases = {
       {"first fit",
        [](const std::string&) { return MakeBaseline(Baseline::kFirstFit); }},
       {"least loaded",
@@ -121,21 +123,22 @@
               "throughput", "evictions", "killed", "throttles", "lost core h");
   const std::vector<double> alone = RunAlone(shape);
   std::vector<Score> scores;
-  scores.reserve(entrants.size());
-  for (const Entrant& entrant : entrants) {
-    scores.push_back(Run(shape, entrant, alone));
+  scores.reserve(policy_cases.size());
+  for (const PolicyCase& policy_case : policy_cases) {
+    scores.push_back(Run(shape, policy_case, alone));
   }
-  const double ignoring = scores[2].throughput;
-  for (std::size_t index = 0; index < entrants.size(); ++index) {
+  const double uncontrolled_throughput = scores[2].throughput;
+  for (std::size_t index = 0; index < policy_cases.size(); ++index) {
     const Score& score = scores[index];
     std::printf("  %-26s %9.3f %9.1f%% %9d %6d %9d %10.1f\n",
-                entrants[index].name.c_str(), score.p99_ratio,
-                100 * score.throughput / ignoring, score.evictions,
-                score.oom_kills, score.throttles, score.lost_core_h);
+                policy_cases[index].name.c_str(), score.p99_ratio,
+                100 * score.throughput / uncontrolled_throughput,
+                score.evictions, score.oom_kills, score.throttles,
+                score.lost_core_h);
   }
   const Score& own = shape.partner == "coop" ? scores[3] : scores[4];
   bool all = Check(own.p99_ratio <= bounds.p99_ratio, "p99 within its bound");
-  all &= Check(own.throughput >= bounds.throughput * ignoring,
+  all &= Check(own.throughput >= bounds.throughput * uncontrolled_throughput,
                "throughput within its bound");
   all &= Check(own.evictions < scores[0].evictions &&
                    own.evictions < scores[1].evictions,
--- a/Tests/Benchmarks/Placement/bench_placer.cc
+++ b/Tests/Benchmarks/Placement/bench_placer.cc
@@ -1,4 +1,5 @@
-// Cost of decisions and memory of the placer at growing sizes.
+// Measures the time of decisions and the memory use of the placer for cells of
+// increasing size.
 
 #include <benchmark/benchmark.h>
 #include <malloc.h>
@@ -59,7 +60,7 @@
     }
   }
 
-  // Places until nothing fits any more.
+  // Places tasks until none fits.
   auto Fill() -> void {
     while (Decide(4096) > 0) {
     }
@@ -93,8 +94,8 @@
   std::mt19937 random_{1};
 };
 
-// A busy cell: tasks end and others take their places, with a backlog that
-// brings all tasks to 80,000. The time is that of decisions alone.
+// A busy cell in which ended tasks are replaced from a backlog, with 80,000
+// tasks in total. Only the time of decisions is measured.
 auto BusyCell(benchmark::State& state) -> void {
   Cell cell(static_cast<uint32_t>(state.range(0)));
   const auto batch = static_cast<uint32_t>(state.range(1));
@@ -124,7 +125,7 @@
     ->Iterations(200)
     ->Unit(benchmark::kMicrosecond);
 
-// Nothing is free, a backlog waits: what a round costs that places nothing.
+// Measures a round that places nothing: no worker has room and a backlog waits.
 auto FullCell(benchmark::State& state) -> void {
   Cell cell(static_cast<uint32_t>(state.range(0)));
   cell.Submit(kTasks);
@@ -141,7 +142,7 @@
     ->Iterations(200)
     ->Unit(benchmark::kMicrosecond);
 
-// Cancelling one job with the given number of waiting tasks.
+// Measures the cancellation of a job with the given number of waiting tasks.
 auto CancelJob(benchmark::State& state) -> void {
   const auto tasks = static_cast<uint32_t>(state.range(0));
   while (state.KeepRunning()) {
@@ -168,7 +169,7 @@
     ->Iterations(10)
     ->Unit(benchmark::kMicrosecond);
 
-// Heap bytes for each worker and each task, waiting and placed.
+// Measures the heap bytes per worker and per task, waiting and placed.
 auto Memory(benchmark::State& state) -> void {
   const auto workers = static_cast<uint32_t>(state.range(0));
   const auto tasks = static_cast<uint32_t>(state.range(1));
--- a/Tests/Benchmarks/Placement/colocation_policies.cc
+++ b/Tests/Benchmarks/Placement/colocation_policies.cc
@@ -43,7 +43,7 @@
       WorkerState state = worker;
       const WorkerHealth::Verdict verdict = health_.Check(now, name);
       state.accepting = state.accepting &&
-                        verdict != WorkerHealth::Verdict::kSetAside &&
+                        verdict != WorkerHealth::Verdict::kQuarantined &&
                         (verdict != WorkerHealth::Verdict::kProbe ||
                          now.time_since_epoch() % std::chrono::seconds(7) ==
                              Duration::zero());
@@ -71,16 +71,16 @@
                schema::TaskOutcome outcome) -> void override {
     placer_.RemovePlaced(task.id);
     model_.OnStopped(now, instance, task.id);
-    health_.OnEnd(now, instance, task.id, outcome);
+    health_.OnTaskEnded(now, instance, task.id, outcome);
   }
 
-  auto OnReport(TimePoint now, const WorldReport& report)
+  auto OnReport(TimePoint now, const SimReport& report)
       -> std::vector<InterferenceAction> override {
     const schema::UsageReport& usage = report.usage;
     placer_.RaiseHeld(usage.task(), usage.used());
-    schema::Resources& seen = seen_[TaskName(usage.task())];
-    seen.set_millicores(std::max(seen.millicores(), usage.used().millicores()));
-    seen.set_memory_mb(std::max(seen.memory_mb(), usage.used().memory_mb()));
+    schema::Resources& peak = peak_usage_[TaskName(usage.task())];
+    peak.set_millicores(std::max(peak.millicores(), usage.used().millicores()));
+    peak.set_memory_mb(std::max(peak.memory_mb(), usage.used().memory_mb()));
     if (!interference_control_) {
       return {};
     }
@@ -94,7 +94,7 @@
                                 const std::string& instance) -> double {
       const std::string& partner = task.task.partner();
       const std::string& job = task.task.job();
-      double cost = health_.FailedHere(instance, partner, job) ? 1 : 0;
+      double cost = health_.HasFailedOn(instance, partner, job) ? 1 : 0;
       if (interference_control_) {
         cost += model_.PlacementCost(now_, instance, partner, job);
       }
@@ -109,12 +109,12 @@
     pending.attempt = task.attempt;
     pending.need = task.kind->declared;
     pending.costly_to_evict = task.kind->costly_to_evict;
-    const auto seen = seen_.find(TaskName(task.id));
-    if (seen != seen_.end()) {
+    const auto peak = peak_usage_.find(TaskName(task.id));
+    if (peak != peak_usage_.end()) {
       pending.need.set_millicores(
-          std::max(pending.need.millicores(), seen->second.millicores()));
+          std::max(pending.need.millicores(), peak->second.millicores()));
       pending.need.set_memory_mb(
-          std::max(pending.need.memory_mb(), seen->second.memory_mb()));
+          std::max(pending.need.memory_mb(), peak->second.memory_mb()));
     }
     return pending;
   }
@@ -123,15 +123,15 @@
   bool interference_control_;
   TimePoint now_;
   std::map<std::string, WorkerState> workers_;
-  std::map<std::string, schema::Resources> seen_;
+  std::map<std::string, schema::Resources> peak_usage_;
   InterferenceModel model_;
   WorkerHealth health_;
   Placer placer_;
 };
 
-class PlainPolicy : public Policy {
+class BaselinePolicy : public Policy {
  public:
-  explicit PlainPolicy(Baseline baseline) : baseline_(baseline) {}
+  explicit BaselinePolicy(Baseline baseline) : baseline_(baseline) {}
 
   auto SetWorker(const WorkerState& worker) -> void override {
     Room& room = rooms_[worker.instance];
@@ -166,7 +166,7 @@
     Add(rooms_[instance], task.kind->declared, 1);
   }
 
-  auto OnReport(TimePoint /*now*/, const WorldReport& /*report*/)
+  auto OnReport(TimePoint /*now*/, const SimReport& /*report*/)
       -> std::vector<InterferenceAction> override {
     return {};
   }
@@ -221,7 +221,7 @@
 }
 
 auto MakeBaseline(Baseline baseline) -> std::unique_ptr<Policy> {
-  return std::make_unique<PlainPolicy>(baseline);
+  return std::make_unique<BaselinePolicy>(baseline);
 }
 
 }  // namespace rhubarbhaven::bench
--- a/Tests/Benchmarks/Placement/colocation_policies.h
+++ b/Tests/Benchmarks/Placement/colocation_policies.h
@@ -3,18 +3,18 @@
 
 #include <memory>
 
-#include "Tests/Benchmarks/Placement/colocation_world.h"
+#include "Tests/Benchmarks/Placement/colocation_simulation.h"
 
 namespace rhubarbhaven::bench {
 
-// The package's placer and worker health; with or without interference
-// control, under the given weights.
+// Returns a policy that uses the package's placer and worker health, with or
+// without interference control, under the given weights.
 auto MakeOwnPolicy(const schema::PartnerRules& rules,
                    const std::string& partner,
                    bool interference_control) -> std::unique_ptr<Policy>;
 
-// Plain baselines by declared sizes: the first worker with room, or the one
-// with the most room.
+// Baselines that place by declared needs alone: on the first worker with room,
+// or on the one with the most free processors.
 enum class Baseline { kFirstFit, kLeastLoaded };
 auto MakeBaseline(Baseline baseline) -> std::unique_ptr<Policy>;
 
--- a/Tests/Benchmarks/Placement/colocation_world.cc
+++ b/Tests/Benchmarks/Placement/colocation_simulation.cc
@@ -1,4 +1,4 @@
-#include "Tests/Benchmarks/Placement/colocation_world.h"
+#include "Tests/Benchmarks/Placement/colocation_simulation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -16,7 +16,7 @@
 constexpr double kBatchMillicores = 12000;
 constexpr double kBatchMemoryMb = 52000;
 constexpr double kThrottledRate = 0.5;
-constexpr double kThrottledHarm = 0.25;
+constexpr double kThrottledInterferenceShare = 0.25;
 constexpr int kStopping = 10;
 constexpr double kResumeLoss = 20;
 constexpr int kLatencySamples = 40;
@@ -34,14 +34,14 @@
   int down_s = 0;
 };
 
-class World {
+class Simulation {
  public:
-  World(const Shape& shape, Policy* policy)
+  Simulation(const Shape& shape, Policy* policy)
       : shape_(shape),
         policy_(policy),
         random_(shape.seed),
-        jobs_(shape.seed),
-        weather_(shape.seed) {
+        job_random_(shape.seed),
+        environment_random_(shape.seed) {
     MakeRatios();
     MakeKinds();
     for (int number = 0; number < kWorkers; ++number) {
@@ -53,7 +53,7 @@
       worker.state.capacity = Amount(16000, 60000);
       worker.state.reserved = Amount(4000, 8000);
       worker.state.accepting = true;
-      Tell(worker);
+      NotifyPolicy(worker);
     }
   }
 
@@ -76,7 +76,7 @@
       }
       RemoveEnded();
     }
-    // Work of running tasks that is saved counts as kept.
+    // The checkpointed work of running tasks counts as completed.
     for (const SimTask& task : tasks_) {
       outcome_.throughput += task.saved_s * Cores(task);
     }
@@ -91,10 +91,11 @@
   auto Uniform(double low, double high) -> double {
     return std::uniform_real_distribution<double>(low, high)(random_);
   }
-  // Load and failures draw apart from reports, so that they are the same for
-  // every policy.
-  auto Weather(double low, double high) -> double {
-    return std::uniform_real_distribution<double>(low, high)(weather_);
+  // Load and failures use a random generator of their own, so that they are the
+  // same for every policy.
+  auto EnvironmentUniform(double low, double high) -> double {
+    return std::uniform_real_distribution<double>(low,
+                                                  high)(environment_random_);
   }
   static auto Cores(const SimTask& task) -> double {
     return task.kind->declared.millicores() / 1000.0;
@@ -105,28 +106,31 @@
     constexpr double kNormalP99 = 2.326;
     std::normal_distribution<double> normal;
     for (double& ratio : ratios_) {
-      ratio = std::exp(kSigma * (normal(weather_) - kNormalP99));
+      ratio = std::exp(kSigma * (normal(environment_random_) - kNormalP99));
     }
   }
 
-  // One kind in eight hurts much, one in four mildly; one in four is noisy.
+  // One kind in eight causes a large slowdown and one in four a small one; the
+  // slowdown of one in four comes in waves.
   auto MakeKinds() -> void {
     for (int number = 0; number < kKinds; ++number) {
       JobKind& kind = kinds_.emplace_back();
       kind.name = "job" + std::to_string(number);
-      kind.harm = shape_.harm * (number % 8 == 3   ? Uniform(0.15, 0.4)
+      kind.interference =
+          shape_.interference * (number % 8 == 3   ? Uniform(0.15, 0.4)
                                  : number % 4 == 1 ? Uniform(0.01, 0.03)
                                                    : Uniform(0, 0.005));
-      kind.noisy = number % 4 == 3;
+      kind.in_waves = number % 4 == 3;
       const double millicores = 1000 * std::floor(Uniform(1, 5));
       const double memory_mb = 1000 * std::floor(Uniform(2, 11));
       kind.declared = Amount(millicores, memory_mb);
-      // Most use less than was declared; one in six far more.
-      const bool wrong = number % 6 == 5;
-      kind.millicores = millicores * (wrong ? Uniform(1, 2) : Uniform(0.5, 1));
-      kind.memory_mb =
-          std::min(kBatchMemoryMb * 0.8,
-                   memory_mb * (wrong ? Uniform(2, 10) : Uniform(0.3, 1)));
+      // Most kinds use less than declared; one in six uses far more.
+      const bool underdeclared = number % 6 == 5;
+      kind.millicores =
+          millicores * (underdeclared ? Uniform(1, 2) : Uniform(0.5, 1));
+      kind.memory_mb = std::min(
+          kBatchMemoryMb * 0.8,
+          memory_mb * (underdeclared ? Uniform(2, 10) : Uniform(0.3, 1)));
       kind.work_s = static_cast<int>(Uniform(300, 2400));
       kind.checkpoint_every_s = static_cast<int>(Uniform(60, 600));
       kind.costly_to_evict = number % 5 == 2;
@@ -137,31 +141,32 @@
     const double phase = 2 * M_PI * second_ / 10800.0;
     for (SimWorker& worker : workers_) {
       if (second_ % 900 == 0) {
-        worker.load = Weather(-0.15, 0.15);
+        worker.load = EnvironmentUniform(-0.15, 0.15);
       }
     }
-    wave_load_ = shape_.mean_load + 0.25 * std::sin(phase);
-    noisy_now_ = (second_ / 420) % 3 == 1;
+    cell_load_ = shape_.mean_load + 0.25 * std::sin(phase);
+    wave_active_ = (second_ / 420) % 3 == 1;
   }
 
-  // Random failures, and one worker on which everything fails for an hour.
+  // Simulates random failures of workers, and one worker on which every task
+  // fails for an hour.
   auto FailWorkers() -> void {
     for (SimWorker& worker : workers_) {
-      const bool fails = Weather(0, 1) < 1.0 / 9000;
+      const bool fails = EnvironmentUniform(0, 1) < 1.0 / 9000;
       if (worker.down_s > 0 && --worker.down_s == 0) {
         worker.state.accepting = true;
-        Tell(worker);
+        NotifyPolicy(worker);
       } else if (fails && worker.down_s == 0) {
         worker.down_s = 120;
         worker.state.accepting = false;
-        Tell(worker);
+        NotifyPolicy(worker);
         EndAllOn(worker.state.instance, schema::LOST);
       }
     }
-    broken_ = second_ > 7200 && second_ < 10800 ? "w7" : "";
+    failing_instance_ = second_ > 7200 && second_ < 10800 ? "w7" : "";
   }
 
-  auto Tell(const SimWorker& worker) -> void {
+  auto NotifyPolicy(const SimWorker& worker) -> void {
     if (policy_ != nullptr) {
       policy_->SetWorker(worker.state);
     }
@@ -175,7 +180,7 @@
 
   auto SubmitJobs() -> void {
     while (Waiting() < kBacklog) {
-      const JobKind& kind = kinds_[jobs_() % kKinds];
+      const JobKind& kind = kinds_[job_random_() % kKinds];
       ++version_;
       for (uint32_t index = 0; index < kTasksPerJob; ++index) {
         SimTask& task = tasks_.emplace_back();
@@ -227,13 +232,13 @@
       }
       for (const InterferenceAction& action :
            policy_->OnReport(now_, *report)) {
-        Act(action);
+        ApplyAction(action);
       }
       report = reports_.erase(report);
     }
   }
 
-  auto Act(const InterferenceAction& action) -> void {
+  auto ApplyAction(const InterferenceAction& action) -> void {
     SimTask* task = Find(action.task);
     if (task == nullptr) {
       return;
@@ -246,12 +251,13 @@
     outcome_.throttles += task->throttled ? 1 : 0;
   }
 
-  auto HarmOf(const SimTask& task, double load) const -> double {
-    double harm = task.kind->harm * (0.4 + 0.8 * load);
-    if (task.kind->noisy) {
-      harm *= noisy_now_ ? 1.5 : 0.5;
+  auto InterferenceOf(const SimTask& task, double load) const -> double {
+    double interference = task.kind->interference * (0.4 + 0.8 * load);
+    if (task.kind->in_waves) {
+      interference *= wave_active_ ? 1.5 : 0.5;
     }
-    return task.throttled ? harm * kThrottledHarm : harm;
+    return task.throttled ? interference * kThrottledInterferenceShare
+                          : interference;
   }
 
   static auto MemoryOf(const SimTask& task) -> double {
@@ -260,26 +266,27 @@
 
   auto RunWorker(const SimWorker& worker, const std::vector<SimTask*>& running)
       -> void {
-    const double load = std::clamp(wave_load_ + worker.load, 0.1, 1.0);
+    const double load = std::clamp(cell_load_ + worker.load, 0.1, 1.0);
     double millicores = 0;
-    double harm = 0;
+    double interference = 0;
     for (const SimTask* task : running) {
       millicores +=
           task->kind->millicores * (task->throttled ? kThrottledRate : 1);
-      harm += HarmOf(*task, load);
+      interference += InterferenceOf(*task, load);
     }
     const double overload = std::max(0.0, millicores / kBatchMillicores - 1);
-    harm += 0.3 * overload;
+    interference += 0.3 * overload;
     const double alone = 10000 * (0.55 + 0.45 * load * load);
-    Sample(worker, load, alone * std::exp(harm));
-    Measure(worker, running, alone * std::exp(harm));
+    Sample(worker, load, alone * std::exp(interference));
+    Measure(worker, running, alone * std::exp(interference));
     for (SimTask* task : running) {
       Advance(*task, 1 / (1 + overload));
     }
     KillForMemory(running);
   }
 
-  // Requests of this second: lognormal around the worker's current p99.
+  // Samples the latencies of this second's requests, lognormal with the
+  // worker's current p99.
   auto Sample(const SimWorker& worker, double load, double p99_us) -> void {
     if (second_ < kWarmUp || worker.down_s > 0) {
       return;
@@ -293,8 +300,8 @@
     }
   }
 
-  // A report for each task and the service, ten seconds apart, up to a minute
-  // late.
+  // Every ten seconds, queues a report for each task with the service's p99; it
+  // arrives up to a minute late.
   auto Measure(const SimWorker& worker,
                const std::vector<SimTask*>& running,
                double p99_us) -> void {
@@ -304,7 +311,7 @@
     }
     const auto late = std::chrono::seconds(static_cast<int>(Uniform(10, 61)));
     const double noise = std::exp(Uniform(-0.1, 0.1));
-    WorldReport report{now_ + late, now_, worker.state.instance, {}};
+    SimReport report{now_ + late, now_, worker.state.instance, {}};
     report.usage.set_service_p99_us(static_cast<uint32_t>(p99_us * noise));
     if (running.empty()) {
       reports_.push_back(report);
@@ -319,13 +326,14 @@
 
   auto Advance(SimTask& task, double rate) -> void {
     ++task.running_s;
-    if (task.instance == broken_ && task.running_s == 5) {
+    if (task.instance == failing_instance_ && task.running_s == 5) {
       End(task, schema::FAILED);
       return;
     }
     if (task.stopping_s > 0) {
       if (--task.stopping_s == 0) {
-        // It was checkpointed; what the next start needs to load is lost.
+        // The task was checkpointed; only the time to load the checkpoint at
+        // the next start is lost.
         task.saved_s = std::max(task.saved_s, task.done_s - kResumeLoss);
         End(task, schema::EVICTED);
       }
@@ -341,7 +349,8 @@
     }
   }
 
-  // The instance's guard kills what is furthest beyond its declared memory.
+  // Simulates the out-of-memory killer, which kills the task that exceeds its
+  // declared memory the most.
   auto KillForMemory(const std::vector<SimTask*>& running) -> void {
     double used = 0;
     SimTask* worst = nullptr;
@@ -402,28 +411,28 @@
   Shape shape_;
   Policy* policy_;
   std::mt19937 random_;
-  std::mt19937 jobs_;
-  std::mt19937 weather_;
+  std::mt19937 job_random_;
+  std::mt19937 environment_random_;
   std::vector<JobKind> kinds_;
   std::vector<SimWorker> workers_;
   std::list<SimTask> tasks_;
-  std::list<WorldReport> reports_;
-  // A request's latency over the current p99, drawn once.
+  std::list<SimReport> reports_;
+  // Ratios of request latencies to the current p99, drawn once.
   std::vector<double> ratios_ = std::vector<double>(100003);
   std::vector<float> latencies_;
   Outcome outcome_;
   TimePoint now_{std::chrono::hours(24)};
   int second_ = 0;
-  double wave_load_ = 0;
-  bool noisy_now_ = false;
-  std::string broken_;
+  double cell_load_ = 0;
+  bool wave_active_ = false;
+  std::string failing_instance_;
   uint64_t version_ = 0;
 };
 
 }  // namespace
 
-auto RunWorld(const Shape& shape, Policy* policy) -> Outcome {
-  return World(shape, policy).Run();
+auto RunSimulation(const Shape& shape, Policy* policy) -> Outcome {
+  return Simulation(shape, policy).Run();
 }
 
 }  // namespace rhubarbhaven::bench
--- a/Tests/Benchmarks/Placement/colocation_world.h
+++ b/Tests/Benchmarks/Placement/colocation_simulation.h
@@ -1,5 +1,5 @@
-#ifndef RHUBARBHAVEN_TESTS_BENCHMARKS_PLACEMENT_COLOCATION_WORLD_H_
-#define RHUBARBHAVEN_TESTS_BENCHMARKS_PLACEMENT_COLOCATION_WORLD_H_
+#ifndef RHUBARBHAVEN_TESTS_BENCHMARKS_PLACEMENT_COLOCATION_SIMULATION_H_
+#define RHUBARBHAVEN_TESTS_BENCHMARKS_PLACEMENT_COLOCATION_SIMULATION_H_
 
 #include <cstdint>
 #include <map>
@@ -12,13 +12,13 @@
 
 namespace rhubarbhaven::bench {
 
-// A recurring job: how it behaves, and what is declared of it.
+// A recurring job, with its actual behaviour and its declared needs.
 struct JobKind {
   std::string name;
-  // Log of the slowdown that one task causes at mean load.
-  double harm = 0;
-  // Whether it comes in waves, shared by the whole cell.
-  bool noisy = false;
+  // Log of the slowdown that one task causes, before scaling by the load.
+  double interference = 0;
+  // The slowdown varies in waves that are shared by the whole cell.
+  bool in_waves = false;
   schema::Resources declared;
   double millicores = 0;
   double memory_mb = 0;
@@ -34,23 +34,23 @@
   double saved_s = 0;
   uint32_t attempt = 0;
   uint32_t evictions = 0;
-  // Empty while it waits.
+  // Empty while the task waits.
   std::string instance;
   bool throttled = false;
   int running_s = 0;
-  // Seconds until an ordered eviction has checkpointed and stopped it.
+  // Seconds until a requested eviction has checkpointed and stopped the task.
   int stopping_s = 0;
   TimePoint waiting_since;
 };
 
-struct WorldReport {
+struct SimReport {
   TimePoint due;
   TimePoint measured;
   std::string instance;
   schema::UsageReport usage;
 };
 
-// What a policy does in the world. Times are virtual.
+// A placement policy under test. All times are virtual.
 class Policy {
  public:
   virtual ~Policy() = default;
@@ -62,13 +62,13 @@
                        const SimTask& task,
                        const std::string& instance,
                        schema::TaskOutcome outcome) -> void = 0;
-  virtual auto OnReport(TimePoint now, const WorldReport& report)
+  virtual auto OnReport(TimePoint now, const SimReport& report)
       -> std::vector<InterferenceAction> = 0;
 };
 
 struct Outcome {
   double p99 = 0;
-  // Core-seconds of work that were done and kept.
+  // Core-seconds of work that were completed and not lost.
   double throughput = 0;
   int evictions = 0;
   int oom_kills = 0;
@@ -78,16 +78,17 @@
 
 struct Shape {
   std::string partner;
-  // Scales the load and the harm: a balance check is shorter than a rating.
+  // Mean load of the service and scale of the slowdowns. They differ by
+  // partner, since a balance check is a shorter request than a rating.
   double mean_load = 0.6;
-  double harm = 1.0;
+  double interference = 1.0;
   uint32_t seed = 1;
 };
 
-// Eleven workers of 16 cores and 60 GB, three to a rack, a service on each.
-// Null `policy` runs the services alone.
-auto RunWorld(const Shape& shape, Policy* policy) -> Outcome;
+// Simulates eleven workers of 16 cores and 60 GB, three to a rack, with a
+// service on each. If `policy` is null, the services run without batch tasks.
+auto RunSimulation(const Shape& shape, Policy* policy) -> Outcome;
 
 }  // namespace rhubarbhaven::bench
 
-#endif  // RHUBARBHAVEN_TESTS_BENCHMARKS_PLACEMENT_COLOCATION_WORLD_H_
+#endif  // RHUBARBHAVEN_TESTS_BENCHMARKS_PLACEMENT_COLOCATION_SIMULATION_H_
--- a/Tests/Placement/interference_test.cc
+++ b/Tests/Placement/interference_test.cc
@@ -1,4 +1,5 @@
-// The model against late reports: what is blamed, and what is done about it.
+// Tests how the interference model attributes slowdowns from late reports, and
+// which steps it takes.
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
@@ -23,7 +24,7 @@
     }
   }
 
-  // The p99 over its target, as measured at `measured`.
+  // Reports a p99 of `slowdown` times its target, measured at `measured`.
   auto Report(int64_t now, int64_t measured, double slowdown)
       -> std::vector<InterferenceAction> {
     schema::UsageReport report;
@@ -31,7 +32,8 @@
     return model_.OnReport(At(now), At(measured), "a", report);
   }
 
-  // Reports every ten seconds, thirty seconds late; the steps taken.
+  // Sends a report every ten seconds, each thirty seconds late, and returns the
+  // steps taken.
   auto Steps(int64_t from, int64_t to, double slowdown)
       -> std::vector<InterferenceStep> {
     std::vector<InterferenceStep> steps;
@@ -51,11 +53,11 @@
   InterferenceModel model_;
 };
 
-// Symptom: a harmless task is throttled for what the one before it did.
-// Sequence: "loud" runs and stops, "calm" starts; then reports arrive that
-// were measured while "loud" ran.
-// Cause: blaming what runs when the report comes, not when it was measured.
-TEST_F(InterferenceTest, LateReportBlamesWhatRanThen) {
+// A harmless task must not be throttled for the slowdown that its predecessor
+// caused. "loud" runs and stops and "calm" starts, then reports arrive that
+// were measured while "loud" ran. The failure occurs if a report is attributed
+// to the tasks running when it arrives instead of when it was measured.
+TEST_F(InterferenceTest, LateReportIsAttributedToTasksRunningThen) {
   Steps(-200, 0, 0.8);
   model_.OnStarted(At(0), "a", Task("loud"), false);
   model_.OnStopped(At(60), "a", Task("loud"));
@@ -70,9 +72,9 @@
   EXPECT_LT(Slowdown(120, "calm"), 1.02);
 }
 
-// Symptom: one window counts as many, and steps follow at once on noise.
-// Sequence: a worker repeats the service's p99 in the report of each task.
-// Cause: learning from the same window more than once.
+// A window must be used only once. A worker repeats the service's p99 in the
+// report of each task; counting each repetition as an observation would make
+// noise trigger steps at once.
 TEST_F(InterferenceTest, RepeatedWindowIsLearnedOnce) {
   model_.OnStarted(At(0), "a", Task("loud"), false);
   Report(40, 10, 1.6);
@@ -83,7 +85,7 @@
   EXPECT_EQ(Slowdown(40, "loud"), once);
 }
 
-TEST_F(InterferenceTest, TooOldReportIsDropped) {
+TEST_F(InterferenceTest, TooOldReportIsIgnored) {
   model_.OnStarted(At(0), "a", Task("loud"), false);
   Report(400, 10, 3);
   EXPECT_EQ(Slowdown(400, "loud"), 1);
@@ -97,7 +99,7 @@
   EXPECT_GT(Slowdown(40, "loud"), 1.05);
 }
 
-TEST_F(InterferenceTest, ForgetsWithoutNews) {
+TEST_F(InterferenceTest, DecaysWithoutReports) {
   Steps(-200, 0, 0.8);
   model_.OnStarted(At(0), "a", Task("loud"), false);
   Steps(10, 100, 1.2);
@@ -107,9 +109,9 @@
   EXPECT_LT(Slowdown(130 + 7200, "loud"), 1 + (fresh - 1) * 0.6);
 }
 
-// Of two jobs that run together, the one that is known takes no blame for
-// the other.
-TEST_F(InterferenceTest, SharesTheBlameByWhatIsKnown) {
+// Of two jobs that run together, the slowdown caused by the new one is not
+// attributed to the one whose effect is already known.
+TEST_F(InterferenceTest, AttributesSlowdownByUncertainty) {
   Steps(-200, 0, 0.8);
   model_.OnStarted(At(0), "a", Task("calm"), false);
   Steps(0, 300, 0.8);
@@ -119,8 +121,9 @@
   EXPECT_LT(Slowdown(430, "calm"), 1.1);
 }
 
-// A job that is known to hurt is kept away where the service is near its
-// target, not where it has room, and not for ever where reports have ceased.
+// A job with a known effect is excluded from instances whose service is near
+// its target. It is not excluded where the service is well below its target,
+// and not permanently where reports have stopped.
 TEST_F(InterferenceTest, PlacementCostFollowsTheLoad) {
   Steps(-200, 0, 0.8);
   model_.OnStarted(At(0), "a", Task("loud"), false);
@@ -133,21 +136,22 @@
   EXPECT_EQ(cost(230, "loud"), std::numeric_limits<double>::infinity());
   EXPECT_EQ(cost(230, "calm"), 0);
   EXPECT_LT(cost(230 + 600, "loud"), 1);
-  // The peak of 0.95 is forgotten only in hours.
+  // The peak of 0.95 decays only over hours.
   Steps(1000, 9000, 0.5);
   EXPECT_LT(cost(9030, "loud"), 1);
 }
 
-// Symptom: a task is throttled and released with every report.
-// Sequence: the p99 goes up, is throttled down, and lingers at the target.
-// Cause: one level for both directions, and no wait between the steps.
+// A task must not be throttled and unthrottled with every report. The p99
+// rises, falls by throttling and stays near the target. The failure occurs if
+// both directions use the same threshold and no time must pass between the
+// steps.
 TEST_F(InterferenceTest, HysteresisKeepsThrottled) {
   Steps(-200, 0, 0.85);
   model_.OnStarted(At(0), "a", Task("loud"), false);
   EXPECT_THAT(Steps(10, 60, 1.3),
               ::testing::ElementsAre(InterferenceStep::kThrottle));
   EXPECT_THAT(Steps(100, 400, 0.97), ::testing::IsEmpty());
-  // Below the level at which steps are taken back, but not with "loud".
+  // Below the threshold for reverting steps, but not with "loud" unthrottled.
   EXPECT_THAT(Steps(400, 500, 0.9), ::testing::IsEmpty());
   const auto released = Steps(500, 700, 0.5);
   EXPECT_THAT(released, ::testing::ElementsAre(InterferenceStep::kUnthrottle));
@@ -162,12 +166,13 @@
               ::testing::ElementsAre(InterferenceStep::kUnthrottle));
 }
 
-// A wave that throttling cannot hold: throttle first, move after the wait.
+// A load wave for which throttling is not sufficient: the task is throttled
+// first and moved after the wait.
 struct WaveCase {
   std::string name;
   schema::PartnerRules rules;
   bool costly = false;
-  // Seconds of the wave, and whether it ends in a move.
+  // Duration of the wave in seconds, and whether the task is moved at its end.
   int64_t lasts = 0;
   bool moved = false;
 };
@@ -198,10 +203,11 @@
         WaveCase{"CostlyStays", Weights(2, 4, 4), true, 400, false}),
     [](const auto& info) { return info.param.name; });
 
-// Symptom: a throttled task is moved although the throttle worked.
-// Sequence: throttled; then reports come that are two minutes old.
-// Cause: taking what was measured before a step for the step's result.
-TEST_F(InterferenceTest, ReportFromBeforeTheStepMovesNobody) {
+// A throttled task must not be moved when throttling was effective. After the
+// task is throttled, reports arrive that are two minutes old. The failure
+// occurs if a measurement from before a step is taken as the result of that
+// step.
+TEST_F(InterferenceTest, ReportFromBeforeTheStepMovesNoTask) {
   model_.SetRules("coop", Weights(6, 2, 2));
   Steps(-200, 0, 0.8);
   model_.OnStarted(At(0), "a", Task("loud"), false);
@@ -212,8 +218,9 @@
   }
 }
 
-// A service that is slow by its own load: no task is touched for it.
-TEST_F(InterferenceTest, OwnLoadThrottlesNobody) {
+// No step is taken against a task when the service is slow because of its own
+// load.
+TEST_F(InterferenceTest, OwnLoadThrottlesNoTask) {
   model_.OnStarted(At(0), "a", Task("calm"), false);
   Steps(0, 600, 0.8);
   model_.OnStopped(At(600), "a", Task("calm"));
--- a/Tests/Placement/placement_builders.h
+++ b/Tests/Placement/placement_builders.h
@@ -9,7 +9,7 @@
 
 namespace rhubarbhaven::testing {
 
-// A time in virtual seconds.
+// Returns the virtual time at the given second.
 inline auto At(int64_t seconds) -> TimePoint {
   return TimePoint(std::chrono::hours(24)) + std::chrono::seconds(seconds);
 }
@@ -47,7 +47,7 @@
   return worker;
 }
 
-// `worker` with one member changed.
+// Returns a copy of `worker` or `task` with one member changed.
 template <typename Member, typename Value>
 auto With(WorkerState worker, Member member, Value value) -> WorkerState {
   worker.*member = std::move(value);
--- a/Tests/Placement/placer_invariants_test.cc
+++ b/Tests/Placement/placer_invariants_test.cc
@@ -1,5 +1,5 @@
-// A seeded random driver: thousands of events in any order, with a plain
-// second account of what is held, against which every decision is checked.
+// Randomized tests: a seeded driver applies thousands of events in random order
+// and checks every decision against an independent account of held resources.
 
 #include <gtest/gtest.h>
 
@@ -20,7 +20,7 @@
   return static_cast<int64_t>(amount.memory_mb());
 }
 
-// Sums without overflow, one dimension each.
+// Per-dimension sums that cannot overflow.
 struct Sum {
   int64_t millicores = 0;
   int64_t memory_mb = 0;
@@ -61,7 +61,7 @@
         Confirm();
         return Cancel();
       case 3:
-        return Raise();
+        return ReportUsage();
       case 4:
       case 5:
         return Finish();
@@ -168,8 +168,8 @@
                                   ->second;
   }
 
-  // What was seen is up to ten times what was declared.
-  auto Raise() -> void {
+  // Reports usage of up to ten times the declared need.
+  auto ReportUsage() -> void {
     PlacedTask* task = PickPlaced();
     if (task == nullptr) {
       return;
@@ -184,7 +184,7 @@
     held.set_memory_mb(std::max(held.memory_mb(), seen.memory_mb()));
   }
 
-  // Decided placements took effect.
+  // Confirms the placements decided so far.
   auto Confirm() -> void {
     for (const std::string& name : unconfirmed_) {
       placer_->AddPlaced(placed_.at(name));
@@ -210,7 +210,8 @@
     }
   }
 
-  // Another process takes over and rebuilds the placer from the records.
+  // Simulates a takeover by another process, which rebuilds the placer from the
+  // records.
   auto Restart() -> void {
     MakePlacer();
     unconfirmed_.clear();
@@ -264,13 +265,13 @@
         team.Add(task.held);
       }
     }
-    // Only tasks that grew after they were placed may take a team beyond it.
-    if (placed_.size() == placed_at_need()) {
+    // Only tasks that grew after their placement may exceed the team's quota.
+    if (placed_.size() == PlacedAtNeed()) {
       ASSERT_LE(team.millicores, 30000);
     }
   }
 
-  auto placed_at_need() const -> std::size_t {
+  auto PlacedAtNeed() const -> std::size_t {
     return static_cast<std::size_t>(
         std::ranges::count_if(placed_, [](const auto& entry) -> bool {
           return entry.second.held.millicores() ==
@@ -299,10 +300,10 @@
 
 class InvariantsTest : public ::testing::TestWithParam<uint32_t> {};
 
-// Symptom: an instance runs more than it holds, or a task gets two places.
-// Sequence: any order of submissions, decisions, late growth by up to 10x,
-// unconfirmed stops, cancellations, workers that change and restarts.
-// Cause: held amounts that are freed early, or counted twice or not at all.
+// Guards against instances that run more than they can hold and tasks that are
+// placed twice. Both occur when held amounts are released early, counted twice
+// or not counted. The events are submissions, decisions, late growth by up to
+// 10x, unconfirmed stops, cancellations, changes of workers and restarts.
 TEST_P(InvariantsTest, HoldAfterEveryStep) {
   Driver driver(GetParam());
   for (int step = 0; step < kSteps; ++step) {
@@ -318,7 +319,8 @@
                          InvariantsTest,
                          ::testing::Range(uint32_t{1}, uint32_t{9}));
 
-// A wave of cancellations: every job goes at once, what runs stays held.
+// When all jobs are cancelled at once, the resources of running tasks stay
+// held.
 TEST(PlacerTest, WaveOfCancellations) {
   Placer placer{PlacerOptions{}};
   placer.SetWorker(Worker("a"));
@@ -337,9 +339,9 @@
   EXPECT_TRUE(placer.Decide(At(2), 100).placements.empty());
 }
 
-// Symptom: a large task that waited long never starts in a busy cell.
-// Sequence: small tasks end one by one, and small ones take each hole.
-// Cause: without a claim, room for the large one never comes together.
+// A large task that has waited long must start even in a busy cell. Small tasks
+// end one by one, and other small tasks could take each freed part. Without a
+// claim, enough resources for the large task would never be free together.
 TEST(PlacerTest, LargeTaskGetsRoomInABusyCell) {
   Placer placer{PlacerOptions{}};
   placer.SetWorker(Worker("a"));
--- a/Tests/Placement/placer_rules_test.cc
+++ b/Tests/Placement/placer_rules_test.cc
@@ -1,5 +1,5 @@
-// One round of decisions per row: what is there, what waits, what must come
-// out.
+// Table tests of single rounds. Each row gives the state of the cell, the
+// waiting tasks and the expected decisions.
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
@@ -21,12 +21,12 @@
   // Quota of the team "ageing" of the partner "coop".
   schema::Resources quota = {};
   int64_t now = 1;
-  // "job#index@7>instance" in order, and names of the evicted.
+  // "job#index>instance" in order, and "job#index" of the evicted tasks.
   std::vector<std::string> placements = {};
   std::vector<std::string> evictions = {};
-  // Part of what is explained of the first waiting task after the round.
+  // Substring of the explanation of the first waiting task after the round.
   std::string explained = {};
-  bool never = false;
+  bool can_never_run = false;
 };
 
 auto ShortName(const schema::TaskId& task) -> std::string {
@@ -72,7 +72,7 @@
     const Explanation explanation =
         placer.Explain(At(row.now), row.waiting.front().task);
     EXPECT_THAT(explanation.text, HasSubstr(row.explained));
-    EXPECT_EQ(explanation.never, row.never);
+    EXPECT_EQ(explanation.can_never_run, row.can_never_run);
   }
 }
 
@@ -119,7 +119,7 @@
        .workers = {With(Worker("a"), &WorkerState::reserved, Need(13, 0))},
        .waiting = {Waiting("x")},
        .explained = "processors 4000 of 3000",
-       .never = true},
+       .can_never_run = true},
       {.name = "MemoryFull",
        .workers = {Worker("a")},
        .waiting = {Waiting("x", 0, Need(1, 20))},
@@ -130,14 +130,14 @@
        .waiting = {Waiting("x", 0, Need(1, 1, 1)), Waiting("y")},
        .placements = {"y#0>a"},
        .explained = "accelerators 1 of 0",
-       .never = true},
+       .can_never_run = true},
       {.name = "NeedOverflowsNothing",
        .workers = {Worker("a")},
        .waiting = {Waiting("x", 0, Need(4294967, ~uint64_t{0} / 1000)),
                    Waiting("y")},
        .placements = {"y#0>a"},
        .explained = "can never run",
-       .never = true},
+       .can_never_run = true},
       {.name = "KeepsAcceleratorsFree",
        .workers = {gpu, Worker("a")},
        .waiting = {Waiting("x"), Waiting("y", 0, Need(1, 1, 2))},
@@ -155,7 +155,7 @@
        .workers = {Worker("a")},
        .waiting = {guest},
        .explained = "no instance takes tasks of partner cantabria",
-       .never = true},
+       .can_never_run = true},
       {.name = "OpenToPartner",
        .workers = {open},
        .waiting = {guest},
@@ -164,7 +164,7 @@
        .workers = {Worker("a")},
        .waiting = {With(Waiting("x"), &PendingTask::failure_domain, "oviedo")},
        .explained = "failure domain oviedo",
-       .never = true},
+       .can_never_run = true},
       {.name = "RackLimit",
        .workers = {Worker("a", "r1"), Worker("b", "r1")},
        .waiting = {rack_limited(1), rack_limited(0)},
@@ -208,7 +208,7 @@
        .waiting = {in_team},
        .quota = Need(3, 0),
        .explained = "more than the quota of team",
-       .never = true},
+       .can_never_run = true},
       {.name = "NoRuleNoPreemption",
        .workers = {Worker("a")},
        .waiting = {urgent},
--- a/Tests/Placement/worker_health_test.cc
+++ b/Tests/Placement/worker_health_test.cc
@@ -24,24 +24,25 @@
 
 class HealthTest : public ::testing::TestWithParam<HealthCase> {};
 
-// Symptom: either a broken worker swallows one task after the other, or sound
-// workers are set aside since a broken job went round all of them.
-// Sequence: the endings of each row, in order.
-// Cause: a failure alone does not say whether the job or the worker is bad;
-// only the same job's fate elsewhere does.
-TEST_P(HealthTest, Tells) {
+// Guards against a broken worker that receives and fails one task after
+// another, and against healthy workers that are quarantined because a broken
+// job has failed on all of them. A failure alone does not show whether the job
+// or the worker is at fault; only the outcomes of the same job on other workers
+// do. Each row lists the endings in order.
+TEST_P(HealthTest, ClassifiesWorkers) {
   const HealthCase& row = GetParam();
   WorkerHealth health{WorkerHealthOptions{}};
   for (const Ending& ending : row.endings) {
     if (health.Check(At(ending.at), ending.instance) == Verdict::kProbe) {
       health.OnProbeStarted(At(ending.at), ending.instance);
     }
-    health.OnEnd(At(ending.at), ending.instance, Task(ending.job),
-                 ending.outcome);
+    health.OnTaskEnded(At(ending.at), ending.instance, Task(ending.job),
+                       ending.outcome);
   }
   EXPECT_EQ(health.Check(At(row.checked_at), "bad"), row.bad);
   EXPECT_EQ(health.Check(At(row.checked_at), "good"), row.good);
-  EXPECT_EQ(health.Why("bad").empty(), row.bad == Verdict::kHealthy);
+  EXPECT_EQ(health.QuarantineReason("bad").empty(),
+            row.bad == Verdict::kHealthy);
 }
 
 auto Cases() -> std::vector<HealthCase> {
@@ -64,7 +65,7 @@
     everywhere.push_back({2, "bad", job});
   }
   return {
-      {"FailsWhatFinishesElsewhere", proof, 10, Verdict::kSetAside},
+      {"FailsWhatFinishesElsewhere", proof, 10, Verdict::kQuarantined},
       {"TwoJobsAreNotEnough", {proof.begin(), proof.end() - 1}, 10},
       {"SameJobAgainCountsOnce",
        {{1, "bad", "x"},
@@ -101,7 +102,7 @@
         {5, "bad", "e"},
         {6, "bad", "f"}},
        10,
-       Verdict::kSetAside},
+       Verdict::kQuarantined},
       {"EvictionsSayNothing",
        {{1, "bad", "x", schema::EVICTED},
         {2, "bad", "y", schema::LOST},
@@ -113,7 +114,7 @@
       {"ProbeAfterThePause", proof, 67, Verdict::kProbe},
       {"ProbeFinishes", after({{70, "bad", "x", finished}}), 71},
       {"ProbeFailsPauseDoubles", after({{70, "bad", "x"}}), 189,
-       Verdict::kSetAside},
+       Verdict::kQuarantined},
       {"ProbeAgainAfterDoublePause", after({{70, "bad", "x"}}), 190,
        Verdict::kProbe},
       {"ProbeWithBrokenJobKeepsThePause",
@@ -132,13 +133,13 @@
 TEST(WorkerHealthTest, OneProbeAtATimeAndFailedJobsTryElsewhere) {
   WorkerHealth health{WorkerHealthOptions{}};
   for (const std::string job : {"a", "b", "c", "d", "e", "f"}) {
-    health.OnEnd(At(1), "bad", Task(job), schema::FAILED);
+    health.OnTaskEnded(At(1), "bad", Task(job), schema::FAILED);
   }
   ASSERT_EQ(health.Check(At(62), "bad"), Verdict::kProbe);
   health.OnProbeStarted(At(62), "bad");
-  EXPECT_EQ(health.Check(At(63), "bad"), Verdict::kSetAside);
-  EXPECT_TRUE(health.FailedHere("bad", "coop", "a"));
-  EXPECT_FALSE(health.FailedHere("good", "coop", "a"));
+  EXPECT_EQ(health.Check(At(63), "bad"), Verdict::kQuarantined);
+  EXPECT_TRUE(health.HasFailedOn("bad", "coop", "a"));
+  EXPECT_FALSE(health.HasFailedOn("good", "coop", "a"));
 }
 
 }  // namespace
