--- a/Source/Daemon/cell_duty.cc
+++ b/Source/Daemon/cell_duty.cc
@@ -96,20 +96,22 @@
   }
 }
 
-auto CellDuty::CarryOne(TimePoint now, const AppendCell& append) -> void {
+auto CellDuty::CarryOne(TimePoint now, const AppendToCell& append) -> void {
   if (!stream_.Append(append.entry)) {
     Carry(now, owner_.OnAppendFailed(now, append.entry));
   }
 }
 
-auto CellDuty::CarryOne(TimePoint /*now*/, const OrderAgent& order) -> void {
+auto CellDuty::CarryOne(TimePoint /*now*/, const SendToSupervisor& order)
+    -> void {
   if (!hooks_.send(order.agent, order.message)) {
     // The owner repeats what is not acknowledged.
     metrics_->AddReason("dropped", schema::RING_FULL);
   }
 }
 
-auto CellDuty::CarryOne(TimePoint /*now*/, const CountOwner& count) -> void {
+auto CellDuty::CarryOne(TimePoint /*now*/, const CountOwnerEvent& count)
+    -> void {
   metrics_->Add("rhubarbhaven_owner_events_total{event=\"" + count.counter +
                 "\"}");
 }
--- a/Source/Daemon/cell_duty.h
+++ b/Source/Daemon/cell_duty.h
@@ -48,9 +48,9 @@
  private:
   auto Hooks() -> StreamHooks;
   auto Carry(TimePoint now, const OwnerActions& actions) -> void;
-  auto CarryOne(TimePoint now, const AppendCell& append) -> void;
-  auto CarryOne(TimePoint now, const OrderAgent& order) -> void;
-  auto CarryOne(TimePoint now, const CountOwner& count) -> void;
+  auto CarryOne(TimePoint now, const AppendToCell& append) -> void;
+  auto CarryOne(TimePoint now, const SendToSupervisor& order) -> void;
+  auto CarryOne(TimePoint now, const CountOwnerEvent& count) -> void;
 
   CellHooks hooks_;
   Metrics* metrics_;
--- a/Source/Daemon/control_duty.cc
+++ b/Source/Daemon/control_duty.cc
@@ -299,7 +299,8 @@
       instance->set_agent(view.agent);
       instance->set_state(view.state);
       instance->set_incarnation(view.incarnation);
-      instance->set_silent_ms(static_cast<uint64_t>(view.silent_for.count()));
+      instance->set_silent_ms(
+          static_cast<uint64_t>(view.unresponsive_for.count()));
       instance->set_tasks(view.tasks);
     }
   }
--- a/Source/Daemon/keeper_duty.cc
+++ b/Source/Daemon/keeper_duty.cc
@@ -7,9 +7,9 @@
 namespace {
 
 auto OptionsOf(const schema::DaemonSettings& settings, uint64_t incarnation)
-    -> KeeperOptions {
+    -> SupervisorOptions {
   const auto& agent = settings.agent();
-  KeeperOptions options;
+  SupervisorOptions options;
   options.agent_id = settings.id();
   options.agent_incarnation = incarnation;
   options.instance = agent.instance();
@@ -67,7 +67,7 @@
       [this](TimePoint now) -> void { Carry(keeper_.Leave(now)); });
 }
 
-auto KeeperDuty::Carry(const KeeperActions& actions) -> void {
+auto KeeperDuty::Carry(const SupervisorActions& actions) -> void {
   for (const auto& action : actions) {
     std::visit([this](const auto& one) -> void { CarryOne(one); }, action);
   }
@@ -78,21 +78,21 @@
 
 auto KeeperDuty::CarryOne(const CallWorker& call) -> void {
   const bool taken = worker_thread_.Post([this, call](TimePoint) -> void {
-    const WorkerOutcome outcome = worker_.Call(call);
+    const TaskCallResult outcome = worker_.Call(call);
     if (!outcome.known) {
       metrics_->Add("rhubarbhaven_worker_calls_unanswered_total");
     }
     Finish(outcome);
   });
   if (!taken) {
-    WorkerOutcome outcome;
+    TaskCallResult outcome;
     outcome.call_id = call.call_id;
     outcome.not_sent = true;
     Finish(outcome);
   }
 }
 
-auto KeeperDuty::Finish(const WorkerOutcome& outcome) -> void {
+auto KeeperDuty::Finish(const TaskCallResult& outcome) -> void {
   thread_.PostOrWait([this, outcome](TimePoint now) -> void {
     Carry(keeper_.OnWorkerReply(now, outcome));
   });
@@ -106,7 +106,7 @@
   }
 }
 
-auto KeeperDuty::CarryOne(const CountKeeper& count) -> void {
+auto KeeperDuty::CarryOne(const CountSupervisorEvent& count) -> void {
   metrics_->Add("rhubarbhaven_keeper_events_total{event=\"" + count.counter +
                 "\"}");
 }
--- a/Source/Daemon/keeper_duty.h
+++ b/Source/Daemon/keeper_duty.h
@@ -33,14 +33,14 @@
   auto idle() const -> bool { return idle_; }
 
  private:
-  auto Carry(const KeeperActions& actions) -> void;
+  auto Carry(const SupervisorActions& actions) -> void;
   auto CarryOne(const CallWorker& call) -> void;
   auto CarryOne(const SendToOwner& send) -> void;
-  auto CarryOne(const CountKeeper& count) -> void;
-  auto Finish(const WorkerOutcome& outcome) -> void;
+  auto CarryOne(const CountSupervisorEvent& count) -> void;
+  auto Finish(const TaskCallResult& outcome) -> void;
 
   std::vector<std::string> entries_;
-  TaskKeeper keeper_;
+  TaskSupervisor keeper_;
   WorkerCaller worker_;
   KeeperHooks hooks_;
   Metrics* metrics_;
--- a/Source/Daemon/worker_caller.cc
+++ b/Source/Daemon/worker_caller.cc
@@ -56,8 +56,8 @@
 WorkerCaller::WorkerCaller(std::string base_url)
     : base_url_(std::move(base_url)) {}
 
-auto WorkerCaller::Call(const CallWorker& call) -> WorkerOutcome {
-  WorkerOutcome outcome;
+auto WorkerCaller::Call(const CallWorker& call) -> TaskCallResult {
+  TaskCallResult outcome;
   outcome.call_id = call.call_id;
   const TimePoint now = Clock::now();
   // Symptom without this check: a process that was stopped between decision
--- a/Source/Daemon/worker_caller.h
+++ b/Source/Daemon/worker_caller.h
@@ -14,7 +14,7 @@
   explicit WorkerCaller(std::string base_url);
 
   // Blocks until the answer came or its time-out passed.
-  auto Call(const CallWorker& call) -> WorkerOutcome;
+  auto Call(const CallWorker& call) -> TaskCallResult;
 
  private:
   std::string base_url_;
--- a/Source/Tasks/cell_fold.cc
+++ b/Source/Tasks/cell_fold.cc
@@ -7,15 +7,15 @@
 namespace rhubarbhaven {
 namespace {
 
-auto Void(schema::LogEntry entry, std::string why) -> CellEffect {
+auto Rejected(schema::LogEntry entry, std::string why) -> CellEffect {
   return {.accepted = false, .why = std::move(why), .entry = std::move(entry)};
 }
 
-auto Taken(schema::LogEntry entry) -> CellEffect {
+auto Accepted(schema::LogEntry entry) -> CellEffect {
   return {.accepted = true, .why = "", .entry = std::move(entry)};
 }
 
-// Keeps only what says that the task must not run again.
+// Removes all fields except those needed to reject further attempts.
 auto Compact(schema::TaskState* state) -> void {
   state->clear_instance();
   state->clear_instance_incarnation();
@@ -35,7 +35,7 @@
     return effects;
   }
   applied_ = offset;
-  if (IsRepeat(record)) {
+  if (IsDuplicate(record)) {
     return effects;
   }
   for (const schema::LogEntry& entry : record.entries()) {
@@ -59,7 +59,7 @@
   return effects;
 }
 
-auto CellFold::IsRepeat(const schema::LogRecord& record) -> bool {
+auto CellFold::IsDuplicate(const schema::LogRecord& record) -> bool {
   schema::WriterMark& mark = writers_[record.writer()];
   if (mark.incarnation() == record.incarnation() &&
       record.sequence() <= mark.sequence()) {
@@ -75,20 +75,20 @@
     -> CellEffect {
   const schema::OwnerClaim& claim = entry.claim();
   if (claim.cell() != cell_) {
-    return Void(entry, "another cell's claim");
+    return Rejected(entry, "claim for another cell");
   }
   if (claim.renewal() || claim.release()) {
     return ApplyOwnClaim(offset, entry);
   }
   if (claim.replaces() != claim_offset_) {
-    return Void(entry, "replaces a claim that is not the latest");
+    return Rejected(entry, "replaces a claim that is not the latest");
   }
   unsettled_ = unsettled_ || fence_ != 0;
   fence_ = offset;
   claim_offset_ = offset;
   owner_ = claim.owner();
   owner_incarnation_ = claim.owner_incarnation();
-  return Taken(entry);
+  return Accepted(entry);
 }
 
 auto CellFold::ApplyOwnClaim(uint64_t offset, const schema::LogEntry& entry)
@@ -97,44 +97,44 @@
   const bool own = fence_ != 0 && claim.owner() == owner_ &&
                    claim.owner_incarnation() == owner_incarnation_;
   if (!own) {
-    return Void(entry, "not the owner in force");
+    return Rejected(entry, "writer is not the current owner");
   }
   if (claim.renewal()) {
     if (claim.replaces() != claim_offset_) {
-      return Void(entry, "renews a claim that is not the latest");
+      return Rejected(entry, "renews a claim that is not the latest");
     }
     claim_offset_ = offset;
-    return Taken(entry);
+    return Accepted(entry);
   }
   if (claim.replaces() != fence_) {
-    return Void(entry, "releases another claim");
+    return Rejected(entry, "releases another claim");
   }
   unsettled_ = unsettled_ && !claim.settled();
   fence_ = 0;
   claim_offset_ = 0;
   owner_.clear();
   owner_incarnation_ = 0;
-  return Taken(entry);
+  return Accepted(entry);
 }
 
 auto CellFold::ApplyPlacement(uint64_t offset, const schema::LogEntry& entry)
     -> CellEffect {
   const schema::Placement& placement = entry.placement();
   if (fence_ == 0 || placement.fence() != fence_) {
-    return Void(entry, "fence not in force");
+    return Rejected(entry, "fence is not current");
   }
   const std::string name = TaskName(placement.task());
   const auto known = tasks_.find(name);
   const uint32_t last = known == tasks_.end() ? 0 : known->second.attempt();
   if (placement.attempt() != last + 1) {
-    return Void(entry, "not the next attempt");
+    return Rejected(entry, "attempt number is not the next one");
   }
   if (known != tasks_.end() && known->second.placed()) {
-    return Void(entry, "task is placed already");
+    return Rejected(entry, "task is already placed");
   }
   if (known != tasks_.end() &&
       known->second.last_outcome() == schema::FINISHED) {
-    return Void(entry, "task has finished");
+    return Rejected(entry, "task has finished");
   }
   schema::TaskState& state = tasks_[name];
   *state.mutable_task() = placement.task();
@@ -145,18 +145,18 @@
   state.set_fence(fence_);
   state.set_placement_offset(offset);
   *state.mutable_admitted() = placement.admitted();
-  return Taken(entry);
+  return Accepted(entry);
 }
 
 auto CellFold::ApplyEnd(const schema::LogEntry& entry) -> CellEffect {
   const schema::TaskEnd& end = entry.task_end();
   if (fence_ == 0 || end.fence() != fence_) {
-    return Void(entry, "fence not in force");
+    return Rejected(entry, "fence is not current");
   }
   const auto known = tasks_.find(TaskName(end.task()));
   if (known == tasks_.end() || !known->second.placed() ||
       known->second.attempt() != end.attempt()) {
-    return Void(entry, "not the placed attempt");
+    return Rejected(entry, "attempt is not placed");
   }
   schema::TaskState& state = known->second;
   state.set_placed(false);
@@ -178,16 +178,16 @@
   if (end.outcome() == schema::FINISHED) {
     Compact(&state);
   }
-  return Taken(entry);
+  return Accepted(entry);
 }
 
 auto CellFold::ApplyInstance(const schema::LogEntry& entry) -> CellEffect {
   const schema::InstanceSeen& seen = entry.instance_seen();
   if (fence_ == 0 || seen.fence() != fence_) {
-    return Void(entry, "fence not in force");
+    return Rejected(entry, "fence is not current");
   }
   instances_[seen.instance()] = seen;
-  return Taken(entry);
+  return Accepted(entry);
 }
 
 auto CellFold::Adopt(const schema::CellState& state) -> bool {
--- a/Source/Tasks/cell_fold.h
+++ b/Source/Tasks/cell_fold.h
@@ -10,42 +10,44 @@
 
 namespace rhubarbhaven {
 
-// What one entry of a record did to the state.
+// The effect of one log entry on the state.
 struct CellEffect {
-  // False if the fold made it void; `why` then says so.
+  // False if the entry had no effect; `why` then gives the reason.
   bool accepted = false;
   std::string why;
   schema::LogEntry entry;
 };
 
-// The deterministic fold of one cell's stream: who owns the cell under which
-// fence, and where each task's latest attempt is. The same records give the
-// same state in every process.
+// Deterministic fold of one cell's stream: the owner of the cell with its
+// fence, and the latest attempt of each task. Every process that applies the
+// same records computes the same state.
 class CellFold {
  public:
   explicit CellFold(std::string cell);
 
-  // Records must come in offset order; a record at or below `applied` is
-  // ignored and gives no effects.
+  // Records must be applied in offset order. A record at or below `applied` is
+  // ignored and has no effects.
   auto Apply(uint64_t offset, const schema::LogRecord& record)
       -> std::vector<CellEffect>;
-  // Takes a snapshot's state if it covers more than was applied.
+  // Replaces the state with a snapshot of the same cell if the snapshot covers
+  // a later offset than `applied`; returns whether it did.
   auto Adopt(const schema::CellState& state) -> bool;
   auto Export() const -> schema::CellState;
 
   auto applied() const -> uint64_t;
   auto fence() const -> uint64_t;
-  // Offset of the latest claim or renewal; zero for a free cell.
+  // Offset of the latest claim or renewal; zero if the cell has no owner.
   auto claim_offset() const -> uint64_t;
-  // An owner was replaced without a release and may still renew unverified.
+  // True if an owner was replaced without a release. That owner may be cut off
+  // from the log and still be renewing leases under its unverified claim.
   auto unsettled() const -> bool;
   auto owner() const -> const std::string&;
   auto owner_incarnation() const -> uint64_t;
-  // By task name (see TaskName).
+  // Keyed by task name (see TaskName).
   auto tasks() const -> const std::map<std::string, schema::TaskState>&;
 
  private:
-  auto IsRepeat(const schema::LogRecord& record) -> bool;
+  auto IsDuplicate(const schema::LogRecord& record) -> bool;
   auto ApplyClaim(uint64_t offset, const schema::LogEntry& entry) -> CellEffect;
   auto ApplyOwnClaim(uint64_t offset, const schema::LogEntry& entry)
       -> CellEffect;
--- a/Source/Tasks/owner.cc
+++ b/Source/Tasks/owner.cc
@@ -34,8 +34,8 @@
   return impl_->TakeActions();
 }
 
-auto Owner::OnCaughtUp(TimePoint now, TimePoint asked) -> OwnerActions {
-  impl_->OnCaughtUp(now, asked);
+auto Owner::OnCaughtUp(TimePoint now, TimePoint read_sent_at) -> OwnerActions {
+  impl_->OnCaughtUp(now, read_sent_at);
   impl_->Advance(now);
   return impl_->TakeActions();
 }
--- a/Source/Tasks/owner.h
+++ b/Source/Tasks/owner.h
@@ -16,37 +16,39 @@
   std::string cell;
   std::string entry_id;
   uint64_t entry_incarnation = 0;
-  // A claim that was not renewed in the log for this long may be replaced.
+  // A claim that has not been renewed in the log for this long may be replaced.
   std::chrono::milliseconds claim_timeout{6000};
   std::chrono::milliseconds claim_renewal{2000};
-  // Longest lease that an agent is granted, and that a worker is given.
+  // Longest lease granted to an agent, and by an agent to a task at its worker.
   std::chrono::milliseconds lease_ttl{6000};
   std::chrono::milliseconds worker_lease{6000};
-  // Margin for clocks that run at different speeds, and for slow calls.
+  // Margin for clock drift and for slow calls.
   std::chrono::milliseconds drift_margin{2000};
-  // How long an owner that cannot reach the log goes on renewing leases.
+  // How long an owner that cannot reach the log continues to renew leases.
   std::chrono::seconds unverified_limit{86400};
   std::size_t placements_per_round = 64;
 };
 
-// Append to the cell's stream; comes back by `OnRecord` when it took effect.
-struct AppendCell {
+// Appends to the cell's stream. The entry is passed to `OnRecord` once it is in
+// the log.
+struct AppendToCell {
   schema::LogEntry entry;
 };
 
-struct OrderAgent {
+struct SendToSupervisor {
   std::string agent;
   schema::Envelope message;
 };
 
-struct CountOwner {
+struct CountOwnerEvent {
   std::string counter;
 };
 
-using OwnerAction = std::variant<AppendCell, OrderAgent, CountOwner>;
+using OwnerAction =
+    std::variant<AppendToCell, SendToSupervisor, CountOwnerEvent>;
 using OwnerActions = std::vector<OwnerAction>;
 
-// What an operator sees of a task.
+// State of a task as shown to operators.
 struct TaskView {
   schema::TaskId task;
   uint32_t attempt = 0;
@@ -58,19 +60,20 @@
   uint32_t evictions = 0;
 };
 
-// What an operator sees of an instance of the cell.
+// State of an instance as shown to operators.
 struct InstanceView {
   std::string instance;
   std::string agent;
   // "leased", "silent", "draining", "lost", "set_aside", "unknown".
   std::string state;
   uint64_t incarnation = 0;
-  std::chrono::milliseconds silent_for{0};
+  std::chrono::milliseconds unresponsive_for{0};
   uint32_t tasks = 0;
 };
 
-// One process's part in owning one cell: follows its stream, claims it when
-// it is free, and while it owns it places tasks and grants leases.
+// Owner of one cell, or candidate for it: follows the cell's stream, claims the
+// cell when it has no owner and, while it owns the cell, places tasks and
+// grants leases.
 class Owner {
  public:
   explicit Owner(OwnerOptions options);
@@ -85,28 +88,29 @@
       -> OwnerActions;
   auto OnSnapshot(TimePoint now, const schema::CellState& state)
       -> OwnerActions;
-  // A read that was sent at `asked` came back at `now` and reached the
-  // stream's end: everything appended before `asked` has been applied.
-  auto OnCaughtUp(TimePoint now, TimePoint asked) -> OwnerActions;
-  // LeaseRequest and TaskReport, from an agent.
+  // A read that was sent at `read_sent_at` and completed at `now` reached the
+  // end of the stream: everything appended before `read_sent_at` has been
+  // applied.
+  auto OnCaughtUp(TimePoint now, TimePoint read_sent_at) -> OwnerActions;
+  // Handles a LeaseRequest or TaskReport from an agent.
   auto OnMessage(TimePoint now,
                  const std::string& agent,
                  const schema::Envelope& message) -> OwnerActions;
   auto OnAppendFailed(TimePoint now, const schema::LogEntry& entry)
       -> OwnerActions;
-  // An operator asks for one task to be evicted.
+  // Evicts one task at the request of an operator.
   auto Evict(TimePoint now, const schema::TaskId& task) -> OwnerActions;
-  // A planned stop: gives the cell free in the log.
+  // Begins a planned stop: releases the cell in the log.
   auto Release(TimePoint now) -> OwnerActions;
   auto OnTick(TimePoint now) -> OwnerActions;
   auto next_wake() const -> TimePoint;
 
-  // True while this process holds the claim in force, as far as it knows.
+  // True while this process holds the latest claim it knows of.
   auto owns() const -> bool;
   auto fold() const -> const CellFold&;
   auto Tasks(TimePoint now) const -> std::vector<TaskView>;
   auto Instances(TimePoint now) const -> std::vector<InstanceView>;
-  // Why a task waits or failed, in one line.
+  // Explains in one line why a task is waiting or has failed.
   auto Explain(TimePoint now, const schema::TaskId& task) const -> std::string;
 
  private:
--- a/Source/Tasks/owner_agents.cc
+++ b/Source/Tasks/owner_agents.cc
@@ -5,13 +5,13 @@
 namespace rhubarbhaven::tasks {
 namespace {
 
-constexpr std::size_t kSupersededKept = 64;
+constexpr std::size_t kMaxSuperseded = 64;
 
 auto Supersede(AgentState* state, uint64_t incarnation) -> void {
   if (state->incarnation != 0) {
     state->superseded.push_back(state->incarnation);
   }
-  if (state->superseded.size() > kSupersededKept) {
+  if (state->superseded.size() > kMaxSuperseded) {
     state->superseded.pop_front();
   }
   state->incarnation = incarnation;
@@ -45,7 +45,7 @@
   }
   state.agent = agent;
   state.last_number = request.number();
-  state.last_heard = now;
+  state.last_request_at = now;
   state.instance_incarnation = request.instance_incarnation();
   state.leaving = request.leaving();
   state.capacity = request.capacity();
--- a/Source/Tasks/owner_agents.h
+++ b/Source/Tasks/owner_agents.h
@@ -11,49 +11,51 @@
 
 namespace rhubarbhaven::tasks {
 
-// What an owner knows of one instance's agent, under its present claim.
+// State of one instance's agent under the owner's present claim.
 struct AgentState {
   std::string agent;
-  // Of the agent that has confirmed this owner's fence; zero for none.
+  // Incarnation of the agent that has confirmed this owner's fence; zero if
+  // none has.
   uint64_t incarnation = 0;
-  // Of the worker, as that agent said last.
+  // Incarnation of the worker in the latest request.
   uint64_t instance_incarnation = 0;
   uint64_t last_number = 0;
-  TimePoint last_heard = TimePoint::min();
-  // When a lease was granted last, to any incarnation of the agent.
+  TimePoint last_request_at = TimePoint::min();
+  // When a lease was last granted to any incarnation of the agent.
   std::optional<TimePoint> last_grant;
   bool leaving = false;
   schema::Resources capacity;
-  // No new work before this point: the agent refused some.
-  TimePoint hold_until = TimePoint::min();
-  // Earlier incarnations; what they sent is void.
+  // No task is placed here before this time, because the agent rejected one.
+  TimePoint no_placements_until = TimePoint::min();
+  // Earlier incarnations of the agent; their messages are ignored.
   std::deque<uint64_t> superseded;
 
   auto confirmed() const -> bool { return incarnation != 0; }
 };
 
-// The agents of a cell's instances.
+// The agents of a cell's instances, keyed by instance.
 class AgentTable {
  public:
   enum class Verdict {
-    // Late or repeated; must not be looked at.
+    // The message is late or a duplicate and must be ignored.
     kStale,
-    // The sender does not know this owner's fence yet: only a lease is due.
+    // The sender does not know this owner's fence yet; it only receives a
+    // lease.
     kUnconfirmed,
-    // The sender has seen a grant of this owner: what it says is present.
+    // The sender has received a grant of this owner; its report is current.
     kConfirmed,
-    // The sender knows a higher fence: this owner was replaced.
+    // The sender knows a higher fence, so this owner has been replaced.
     kReplaced,
   };
-  // A request says what runs; it counts only if its sender certainly lives
-  // under the present claim. What goes wrong otherwise: a request of a dead
-  // incarnation that was long under way looks like a new one, and tasks of the
-  // live one are taken for lost.
+  // A request lists the running tasks. It is used only if its sender certainly
+  // runs under the present claim. Otherwise a delayed request of a terminated
+  // incarnation would be taken for a new one, and tasks of the running
+  // incarnation would be declared lost.
   auto OnRequest(TimePoint now,
                  uint64_t fence,
                  const std::string& agent,
                  const schema::Envelope& message) -> Verdict;
-  // True if a report comes from the incarnation that is confirmed.
+  // True if the report comes from the confirmed incarnation of the agent.
   auto IsCurrent(const schema::Envelope& message) const -> bool;
 
   auto Find(const std::string& instance) -> AgentState*;
--- a/Source/Tasks/owner_claim.cc
+++ b/Source/Tasks/owner_claim.cc
@@ -5,11 +5,12 @@
 namespace rhubarbhaven::tasks {
 namespace {
 
-// Clocks of two processes differ by less than one part in this many.
+// The rates of two clocks differ by less than one part in this many.
 constexpr int kDriftDivisor = 1000;
-// Part of the claim timeout that a first lease stays clear of.
-constexpr int kFirstLeaseMargin = 4;
-// A claim is renewed at least this often within its timeout.
+// The claim timeout divided by this is the margin between the end of a first
+// lease and the end of the claim timeout.
+constexpr int kFirstLeaseMarginDivisor = 4;
+// Minimum number of renewals within the claim timeout.
 constexpr int kRenewalsPerTimeout = 3;
 
 }  // namespace
@@ -17,7 +18,7 @@
 CellClaim::CellClaim(const OwnerOptions& options, const CellFold* fold)
     : options_(options), fold_(fold) {}
 
-auto CellClaim::IsMine() const -> bool {
+auto CellClaim::HoldsClaim() const -> bool {
   return fold_->fence() != 0 && fold_->owner() == options_.entry_id &&
          fold_->owner_incarnation() == options_.entry_incarnation;
 }
@@ -26,48 +27,49 @@
   const uint64_t before = fence_;
   if (fold_->claim_offset() != seen_offset_) {
     seen_offset_ = fold_->claim_offset();
-    quiet_since_ = now;
-    if (IsMine() && first_issue_.has_value()) {
-      // Whichever of the records that named the earlier offset took effect,
-      // it was not made before the first of them.
+    unchanged_since_ = now;
+    if (HoldsClaim() && first_issue_.has_value()) {
+      // Any of the records that named the earlier offset may have taken effect;
+      // none was made before the first of them.
       renewed_ = *first_issue_;
     }
     first_issue_.reset();
     in_flight_ = false;
   }
-  const uint64_t mine = IsMine() ? fold_->fence() : 0;
-  if (mine != fence_) {
-    fence_ = mine;
-    if (mine != 0) {
-      TakeOver(now);
+  const uint64_t own_fence = HoldsClaim() ? fold_->fence() : 0;
+  if (own_fence != fence_) {
+    fence_ = own_fence;
+    if (own_fence != 0) {
+      OnOwnershipStart(now);
     }
   }
   return fence_ != before;
 }
 
-auto CellClaim::TakeOver(TimePoint now) -> void {
+auto CellClaim::OnOwnershipStart(TimePoint now) -> void {
   verified_ = renewed_;
   next_renewal_ = now + renewal();
-  auto inherited = options_.lease_ttl + options_.worker_lease;
+  auto leases = options_.lease_ttl + options_.worker_lease;
   if (fold_->unsettled()) {
-    inherited += options_.unverified_limit;
+    leases += options_.unverified_limit;
   }
-  inherited += inherited / kDriftDivisor;
-  inherited_until_ = now + inherited + options_.drift_margin;
+  leases += leases / kDriftDivisor;
+  inherited_until_ = now + leases + options_.drift_margin;
 }
 
-auto CellClaim::OnCaughtUp(TimePoint now, TimePoint asked) -> void {
-  // What goes wrong: after an outage every candidate finds the claim old and
-  // takes the cell from an owner that could not renew. A gap in the reading
-  // starts the observation anew.
-  const bool gap = last_asked_ == TimePoint::min() ||
-                   asked - last_asked_ > options_.claim_timeout / 2;
+auto CellClaim::OnCaughtUp(TimePoint now, TimePoint read_sent_at) -> void {
+  // After a log outage, every candidate would find the claim expired and
+  // replace an owner that had no chance to renew it. A gap in the reads
+  // therefore restarts the observation.
+  const bool gap =
+      last_read_sent_at_ == TimePoint::min() ||
+      read_sent_at - last_read_sent_at_ > options_.claim_timeout / 2;
   if (gap) {
-    quiet_since_ = now;
+    unchanged_since_ = now;
   }
-  last_asked_ = std::max(last_asked_, asked);
+  last_read_sent_at_ = std::max(last_read_sent_at_, read_sent_at);
   if (fence_ != 0) {
-    verified_ = std::max(verified_, asked);
+    verified_ = std::max(verified_, read_sent_at);
   }
 }
 
@@ -76,7 +78,8 @@
 }
 
 auto CellClaim::Step(TimePoint now) -> std::optional<schema::LogEntry> {
-  // A process that gave the cell free is about to stop: it claims no more.
+  // A process that has released the cell is about to stop and must not claim it
+  // again.
   if (releasing_ || now < next_issue()) {
     return std::nullopt;
   }
@@ -87,12 +90,13 @@
     next_renewal_ = now + renewal();
     return Issue(now, true);
   }
-  const bool caught_up =
-      last_asked_ != TimePoint::min() && last_asked_ >= quiet_since_;
+  const bool caught_up = last_read_sent_at_ != TimePoint::min() &&
+                         last_read_sent_at_ >= unchanged_since_;
   const bool free = fold_->fence() == 0 && caught_up;
-  const bool silent =
-      caught_up && last_asked_ - quiet_since_ >= options_.claim_timeout;
-  if (!free && !silent) {
+  const bool claim_expired =
+      caught_up &&
+      last_read_sent_at_ - unchanged_since_ >= options_.claim_timeout;
+  if (!free && !claim_expired) {
     return std::nullopt;
   }
   return Issue(now, false);
@@ -151,15 +155,16 @@
   return owns() && now - verified_ <= options_.claim_timeout;
 }
 
-auto CellClaim::FirstLease(TimePoint now) const -> std::chrono::milliseconds {
-  // What goes wrong: an agent that restarted has forgotten the fence; an owner
-  // that was replaced, cut off from the log, would lease to it again, while
-  // the new owner counts on the leases that it gave itself. A claim is only
-  // replaced when it was not renewed for `claim_timeout`, so a first lease
-  // that ends before that, counted from the latest renewal, cannot overlap.
+auto CellClaim::MaxFirstLease(TimePoint now) const
+    -> std::chrono::milliseconds {
+  // A restarted agent has no record of the fence. A replaced owner that is cut
+  // off from the log could grant it another lease, while the new owner accounts
+  // only for the leases that it granted itself. A claim is replaced only if it
+  // was not renewed for `claim_timeout`, so a first lease that ends before that
+  // time, counted from the latest renewal, cannot overlap.
   const auto age = std::chrono::ceil<std::chrono::milliseconds>(now - renewed_);
-  const auto left =
-      options_.claim_timeout - options_.claim_timeout / kFirstLeaseMargin - age;
+  const auto left = options_.claim_timeout -
+                    options_.claim_timeout / kFirstLeaseMarginDivisor - age;
   return std::min(options_.lease_ttl, left);
 }
 
--- a/Source/Tasks/owner_claim.h
+++ b/Source/Tasks/owner_claim.h
@@ -9,42 +9,46 @@
 
 namespace rhubarbhaven::tasks {
 
-// One process's claim of a cell: when to claim, when to renew, since when it
-// is known to hold, and how long an earlier owner may still renew leases.
+// One process's claim to a cell: when to claim and renew it, the latest
+// point at which it is known to be valid, and how long an earlier owner may
+// still renew leases.
 class CellClaim {
  public:
   CellClaim(const OwnerOptions& options, const CellFold* fold);
 
-  // After each change of the fold. True if ownership began or ended.
+  // Must be called after each change of the fold. Returns true if ownership
+  // began or ended.
   auto Observe(TimePoint now) -> bool;
-  auto OnCaughtUp(TimePoint now, TimePoint asked) -> void;
+  auto OnCaughtUp(TimePoint now, TimePoint read_sent_at) -> void;
   auto OnAppendFailed() -> void;
-  // The record that is due, if any: a claim or a renewal.
+  // Returns the claim or renewal that is due, if any.
   auto Step(TimePoint now) -> std::optional<schema::LogEntry>;
-  // Stops granting at once; the record frees the cell.
+  // Stops granting leases immediately and returns the record that releases the
+  // cell, if this process owns it.
   auto Release() -> std::optional<schema::LogEntry>;
 
   auto owns() const -> bool { return fence_ != 0 && !releasing_; }
   auto fence() const -> uint64_t { return fence_; }
-  // The claim held at this point: a read asked then found it in force.
+  // Latest point at which the claim is known to have been in force, from a read
+  // sent at that time.
   auto verified() const -> TimePoint { return verified_; }
   auto may_grant(TimePoint now) const -> bool;
-  // The log was reached lately, so that records may be appended.
+  // True if the log was reached recently enough for records to be appended.
   auto may_append(TimePoint now) const -> bool;
-  // How long a lease may be for an agent that has not confirmed this fence
-  // yet; zero or less for none.
-  auto FirstLease(TimePoint now) const -> std::chrono::milliseconds;
-  // From here on no earlier owner's leases can be in force.
+  // Maximum lease for an agent that has not confirmed this fence yet; if zero
+  // or less, none may be granted.
+  auto MaxFirstLease(TimePoint now) const -> std::chrono::milliseconds;
+  // Point from which no lease of an earlier owner can be in force.
   auto inherited_until() const -> TimePoint { return inherited_until_; }
-  // Known, by the log, to have passed `inherited_until`.
+  // True if the log confirms that `inherited_until` has passed.
   auto settled() const -> bool { return verified_ >= inherited_until_; }
   auto next_wake() const -> TimePoint;
 
  private:
-  // The next record may be made from here on.
+  // Earliest time of the next record.
   auto next_issue() const -> TimePoint;
-  auto IsMine() const -> bool;
-  auto TakeOver(TimePoint now) -> void;
+  auto HoldsClaim() const -> bool;
+  auto OnOwnershipStart(TimePoint now) -> void;
   auto NewClaim() const -> schema::LogEntry;
   auto Issue(TimePoint now, bool renewal) -> schema::LogEntry;
   auto renewal() const -> std::chrono::milliseconds;
@@ -54,14 +58,14 @@
   uint64_t fence_ = 0;
   bool releasing_ = false;
   uint64_t seen_offset_ = 0;
-  // Since when no claim or renewal was read, on this clock.
-  TimePoint quiet_since_ = TimePoint::min();
-  TimePoint last_asked_ = TimePoint::min();
+  // Since when no new claim or renewal has been read, on the local clock.
+  TimePoint unchanged_since_ = TimePoint::min();
+  TimePoint last_read_sent_at_ = TimePoint::min();
   TimePoint verified_ = TimePoint::min();
-  // When the latest record of ours that took effect was made.
+  // Time of this process's latest claim or renewal that took effect.
   TimePoint renewed_ = TimePoint::min();
   TimePoint inherited_until_ = TimePoint::min();
-  // When the first record that names `seen_offset_` was made, and the last.
+  // Times of the first and the last record that name `seen_offset_`.
   std::optional<TimePoint> first_issue_;
   TimePoint last_issue_ = TimePoint::min();
   bool in_flight_ = false;
--- a/Source/Tasks/owner_impl.cc
+++ b/Source/Tasks/owner_impl.cc
@@ -8,7 +8,8 @@
 
 constexpr std::chrono::milliseconds kCheckInterval{500};
 constexpr std::chrono::milliseconds kRoundInterval{50};
-// Tasks of one draining instance that are moved at the same time.
+// Maximum number of tasks that are evicted from a draining instance at the same
+// time.
 constexpr int kDrainingAtOnce = 2;
 
 auto WithCell(OwnerOptions options) -> OwnerOptions {
@@ -32,11 +33,11 @@
 }
 
 auto Owner::Impl::Count(const std::string& counter) -> void {
-  actions_.push_back(CountOwner{counter});
+  actions_.push_back(CountOwnerEvent{counter});
 }
 
 auto Owner::Impl::Append(schema::LogEntry entry) -> void {
-  actions_.push_back(AppendCell{std::move(entry)});
+  actions_.push_back(AppendToCell{std::move(entry)});
 }
 
 auto Owner::Impl::OnConfig(TimePoint now,
@@ -70,7 +71,7 @@
   if (!fold_.Adopt(state)) {
     return;
   }
-  // Records were skipped: what was built from them is built anew.
+  // The snapshot skipped records, so derived state must be rebuilt.
   scheduler_.reset();
   placed_.Clear();
   ObserveClaim(now);
@@ -95,7 +96,7 @@
 }
 
 auto Owner::Impl::Begin(TimePoint now) -> void {
-  // Without the register every task would look unwanted.
+  // Without the register every task would appear to be cancelled.
   if (!configured_) {
     return;
   }
@@ -110,8 +111,8 @@
   StopUnwanted();
 }
 
-auto Owner::Impl::OnCaughtUp(TimePoint now, TimePoint asked) -> void {
-  claim_.OnCaughtUp(now, asked);
+auto Owner::Impl::OnCaughtUp(TimePoint now, TimePoint read_sent_at) -> void {
+  claim_.OnCaughtUp(now, read_sent_at);
 }
 
 auto Owner::Impl::OnEffect(TimePoint now, const CellEffect& effect) -> void {
@@ -142,7 +143,7 @@
     SetStop(&attempt, Stop::kCancel, "the job was cancelled");
     return;
   }
-  Direct(attempt);
+  SendOrder(attempt);
 }
 
 auto Owner::Impl::OnEnded(TimePoint now, const schema::TaskEnd& end) -> void {
@@ -181,7 +182,7 @@
     Count("evict_not_placed");
     return;
   }
-  SetStop(attempt, Stop::kEvict, "an operator asked");
+  SetStop(attempt, Stop::kEvict, "an operator requested the eviction");
 }
 
 auto Owner::Impl::Release() -> void {
@@ -201,7 +202,7 @@
   attempt->why = why;
   scheduler_->OnStopping(attempt->task);
   Count(stop == Stop::kCancel ? "task_cancel" : "task_evict");
-  Direct(*attempt);
+  SendOrder(*attempt);
 }
 
 auto Owner::Impl::IsUnwanted(const schema::TaskId& task) const -> bool {
@@ -209,9 +210,9 @@
   if (job != nullptr) {
     return job->job.cancelled() || task.index() >= job->job.tasks();
   }
-  // What goes wrong: this process has not read the configuration that made
-  // the job yet, and takes it for removed. A job is known to be removed only
-  // by a configuration that is newer than its creation.
+  // This process may not have read the configuration that created the job yet;
+  // the job must not be treated as removed then. A job is known to be removed
+  // only if a configuration newer than its creation has been read.
   return task.job_version() <= config_version_;
 }
 
@@ -247,7 +248,7 @@
 auto Owner::Impl::Check(TimePoint now) -> void {
   scheduler_->SyncWorkers(now);
   CheckLost(now);
-  Drain();
+  EvictFromDraining();
 }
 
 auto Owner::Impl::CheckLost(TimePoint now) -> void {
@@ -258,7 +259,7 @@
     if (attempt.end_issued) {
       continue;
     }
-    const std::string why = WhyLost(now, attempt);
+    const std::string why = LossReason(now, attempt);
     if (!why.empty()) {
       Count("task_lost");
       IssueEnd(&attempt, schema::LOST, why);
@@ -266,8 +267,8 @@
   }
 }
 
-auto Owner::Impl::WhyLost(TimePoint now,
-                          const tasks::PlacedAttempt& attempt) const
+auto Owner::Impl::LossReason(TimePoint now,
+                             const tasks::PlacedAttempt& attempt) const
     -> std::string {
   const tasks::RegisterInstance* entry =
       register_.FindInstance(attempt.instance);
@@ -280,26 +281,26 @@
       agent->instance_incarnation != attempt.instance_incarnation) {
     return "the instance started anew";
   }
-  // What goes wrong: an instance that is only out of reach is taken for dead,
-  // and its task runs twice. Silence counts only once every lease that this
-  // owner, or one before it, may have given is over. That nobody else has
-  // owned the cell in between is shown by the record: it takes effect only
-  // under this owner's fence.
-  TimePoint over = TimePoint::min();
+  // An instance that is only unreachable must not be declared lost, or its task
+  // would run twice. It counts as lost only after every lease that this owner
+  // or an earlier one may have granted has expired. The record takes effect
+  // only under the fence of this owner, which proves that no other process has
+  // owned the cell in between.
+  TimePoint leases_end = TimePoint::min();
   if (agent != nullptr && agent->last_grant.has_value()) {
-    over = *agent->last_grant + options_.lease_ttl + options_.worker_lease +
-           options_.drift_margin;
+    leases_end = *agent->last_grant + options_.lease_ttl +
+                 options_.worker_lease + options_.drift_margin;
   }
   if (agent == nullptr || !agent->confirmed()) {
-    over = std::max(over, claim_.inherited_until());
+    leases_end = std::max(leases_end, claim_.inherited_until());
   }
-  if (now >= over) {
+  if (now >= leases_end) {
     return "the instance is silent and its leases are over";
   }
   return "";
 }
 
-auto Owner::Impl::Drain() -> void {
+auto Owner::Impl::EvictFromDraining() -> void {
   for (const auto& [name, entry] : register_.instances()) {
     if (!entry.instance.draining()) {
       continue;
--- a/Source/Tasks/owner_impl.h
+++ b/Source/Tasks/owner_impl.h
@@ -15,7 +15,7 @@
 
 namespace rhubarbhaven {
 
-// Joins the parts of an owner: each event goes in, actions come out.
+// Connects the parts of an owner: takes events and collects actions.
 class Owner::Impl {
  public:
   explicit Impl(OwnerOptions options);
@@ -25,14 +25,14 @@
   auto OnRecord(TimePoint now, uint64_t offset, const schema::LogRecord& record)
       -> void;
   auto OnSnapshot(TimePoint now, const schema::CellState& state) -> void;
-  auto OnCaughtUp(TimePoint now, TimePoint asked) -> void;
+  auto OnCaughtUp(TimePoint now, TimePoint read_sent_at) -> void;
   auto OnMessage(TimePoint now,
                  const std::string& agent,
                  const schema::Envelope& message) -> void;
   auto OnAppendFailed(TimePoint now, const schema::LogEntry& entry) -> void;
   auto Evict(const schema::TaskId& task) -> void;
   auto Release() -> void;
-  // What is due by time; runs after each event.
+  // Performs everything that is due at `now`; called after each event.
   auto Advance(TimePoint now) -> void;
   auto TakeActions() -> OwnerActions;
 
@@ -48,7 +48,7 @@
 
   auto Count(const std::string& counter) -> void;
   auto Append(schema::LogEntry entry) -> void;
-  // The fold has changed: ownership may have begun or ended.
+  // Handles a change of the fold, by which ownership may begin or end.
   auto ObserveClaim(TimePoint now) -> void;
   auto Begin(TimePoint now) -> void;
   auto OnEffect(TimePoint now, const CellEffect& effect) -> void;
@@ -61,7 +61,7 @@
   auto OnConfirmedRequest(TimePoint now, const schema::LeaseRequest& request)
       -> void;
   auto OnReport(TimePoint now, const schema::Envelope& message) -> void;
-  // True if the instance may be leased to at all.
+  // True if the instance may be granted a lease.
   auto MayLease(const schema::LeaseRequest& request) const -> bool;
   auto Grant(TimePoint now,
              const std::string& agent,
@@ -69,25 +69,25 @@
              std::chrono::milliseconds ttl) -> void;
   auto AddRecorded(const schema::LeaseRequest& request,
                    schema::LeaseGrant* grant) const -> void;
-  // The log says that the attempt has ended.
+  // True if the end of the attempt is recorded in the log.
   auto IsRecorded(const schema::TaskId& task, uint32_t attempt) const -> bool;
 
   auto OnRunning(TimePoint now,
                  const std::string& instance,
                  const schema::RunningTask& running) -> void;
-  auto OnEndedAtAgent(const std::string& instance,
-                      const schema::EndedTask& ended) -> void;
-  auto OnRefused(TimePoint now,
-                 const std::string& instance,
-                 const schema::RefusedOrder& refused) -> void;
+  auto OnEndReported(const std::string& instance,
+                     const schema::EndedTask& ended) -> void;
+  auto OnRejected(TimePoint now,
+                  const std::string& instance,
+                  const schema::RefusedOrder& refused) -> void;
   auto OnUsage(TimePoint now, const schema::LeaseRequest& request) -> void;
   auto IssueEnd(tasks::PlacedAttempt* attempt,
                 schema::TaskOutcome outcome,
                 const std::string& detail) -> void;
 
-  // Sends what the attempt needs now, if its agent is confirmed.
-  auto Direct(const tasks::PlacedAttempt& attempt) -> void;
-  auto DirectAll(const std::string& instance) -> void;
+  // Sends the order that the attempt needs now, if its agent is confirmed.
+  auto SendOrder(const tasks::PlacedAttempt& attempt) -> void;
+  auto SendOrders(const std::string& instance) -> void;
   auto SetStop(tasks::PlacedAttempt* attempt, Stop stop, const std::string& why)
       -> void;
   // Stops attempts whose job was cancelled or removed.
@@ -96,10 +96,11 @@
 
   auto Check(TimePoint now) -> void;
   auto CheckLost(TimePoint now) -> void;
-  // Empty unless the attempt is proved to be gone with its instance.
-  auto WhyLost(TimePoint now, const tasks::PlacedAttempt& attempt) const
+  // Returns why the attempt is lost with its instance, or an empty string if
+  // that is not proved.
+  auto LossReason(TimePoint now, const tasks::PlacedAttempt& attempt) const
       -> std::string;
-  auto Drain() -> void;
+  auto EvictFromDraining() -> void;
   auto PlaceTasks(TimePoint now) -> void;
   auto StateOf(const tasks::RegisterJob& job,
                const schema::TaskState* state,
@@ -112,10 +113,10 @@
   tasks::OwnerOrders orders_;
   tasks::AgentTable agents_;
   tasks::PlacedAttempts placed_;
-  // Only while the cell is owned.
+  // Set only while the cell is owned.
   std::unique_ptr<tasks::OwnerScheduler> scheduler_;
   bool configured_ = false;
-  // Highest version of any object that was seen.
+  // Highest object version seen in any configuration.
   uint64_t config_version_ = 0;
   TimePoint next_check_ = TimePoint::min();
   TimePoint next_round_ = TimePoint::min();
--- a/Source/Tasks/owner_messages.cc
+++ b/Source/Tasks/owner_messages.cc
@@ -7,8 +7,9 @@
 
 using Verdict = tasks::AgentTable::Verdict;
 
-// No new work for an agent that refused some; it says what holds it.
-constexpr std::chrono::seconds kHoldAfterRefusal{10};
+// How long no task is placed on an instance whose agent has rejected one. The
+// rejection carries its reason.
+constexpr std::chrono::seconds kRejectionBackoff{10};
 
 }  // namespace
 
@@ -44,12 +45,12 @@
       Count("request_knows_other_owner");
       return;
     case Verdict::kUnconfirmed:
-      Grant(now, agent, request, claim_.FirstLease(now));
+      Grant(now, agent, request, claim_.MaxFirstLease(now));
       return;
     case Verdict::kConfirmed:
       OnConfirmedRequest(now, request);
       Grant(now, agent, request, options_.lease_ttl);
-      DirectAll(request.instance());
+      SendOrders(request.instance());
       return;
   }
 }
@@ -69,10 +70,10 @@
     -> void {
   const std::string& instance = request.instance();
   for (const schema::EndedTask& ended : request.ended()) {
-    OnEndedAtAgent(instance, ended);
+    OnEndReported(instance, ended);
   }
   for (const schema::RefusedOrder& refused : request.refused()) {
-    OnRefused(now, instance, refused);
+    OnRejected(now, instance, refused);
   }
   if (request.running_as_of() == 0) {
     for (const std::string& name : placed_.On(instance)) {
@@ -93,10 +94,10 @@
   }
   const schema::TaskReport& report = message.task_report();
   for (const schema::EndedTask& ended : report.ended()) {
-    OnEndedAtAgent(report.instance(), ended);
+    OnEndReported(report.instance(), ended);
   }
   for (const schema::RefusedOrder& refused : report.refused()) {
-    OnRefused(now, report.instance(), refused);
+    OnRejected(now, report.instance(), refused);
   }
   for (const schema::RunningTask& running : report.started()) {
     OnRunning(now, report.instance(), running);
@@ -113,7 +114,7 @@
   }
   const auto ago = std::chrono::duration_cast<std::chrono::milliseconds>(
       now - claim_.verified());
-  OrderAgent grant =
+  SendToSupervisor grant =
       orders_.Grant(claim_.fence(), agent, request.number(), ttl, ago);
   AddRecorded(request, grant.message.mutable_lease_grant());
   agents_.Find(request.instance())->last_grant = now;
@@ -155,7 +156,7 @@
   tasks::PlacedAttempt* attempt =
       placed_.FindOn(instance, running.task(), running.attempt());
   if (attempt == nullptr) {
-    // The log says that this attempt has ended, or is elsewhere.
+    // According to the log, this attempt has ended or is placed elsewhere.
     Count("task_unexpected");
     tasks::PlacedAttempt unexpected;
     unexpected.task = running.task();
@@ -172,8 +173,8 @@
   scheduler_->OnRunning(now, instance, running.task());
 }
 
-auto Owner::Impl::OnEndedAtAgent(const std::string& instance,
-                                 const schema::EndedTask& ended) -> void {
+auto Owner::Impl::OnEndReported(const std::string& instance,
+                                const schema::EndedTask& ended) -> void {
   tasks::PlacedAttempt* attempt =
       placed_.FindOn(instance, ended.task(), ended.attempt());
   if (attempt == nullptr || attempt->end_issued) {
@@ -186,7 +187,7 @@
   const bool stopped = outcome == schema::EVICTED || outcome == schema::LOST ||
                        outcome == schema::CRASHED ||
                        outcome == schema::CANCELLED;
-  // An agent that restarted no longer knows why it stopped a task.
+  // A restarted agent no longer knows why it stopped a task.
   if (stopped && attempt->stop == Stop::kCancel) {
     outcome = schema::CANCELLED;
   } else if (outcome == schema::CANCELLED) {
@@ -195,16 +196,16 @@
   IssueEnd(attempt, outcome, ended.detail());
 }
 
-auto Owner::Impl::OnRefused(TimePoint now,
-                            const std::string& instance,
-                            const schema::RefusedOrder& refused) -> void {
+auto Owner::Impl::OnRejected(TimePoint now,
+                             const std::string& instance,
+                             const schema::RefusedOrder& refused) -> void {
   tasks::PlacedAttempt* attempt =
       placed_.FindOn(instance, refused.task(), refused.attempt());
   if (attempt == nullptr || attempt->end_issued) {
     return;
   }
   if (attempt->stop == Stop::kNone) {
-    agents_.Find(instance)->hold_until = now + kHoldAfterRefusal;
+    agents_.Find(instance)->no_placements_until = now + kRejectionBackoff;
   }
   Count("task_refused");
   IssueEnd(attempt, schema::NOT_STARTED, refused.why());
@@ -244,13 +245,13 @@
   Append(std::move(entry));
 }
 
-auto Owner::Impl::DirectAll(const std::string& instance) -> void {
+auto Owner::Impl::SendOrders(const std::string& instance) -> void {
   for (const std::string& name : placed_.On(instance)) {
-    Direct(*placed_.Find(name));
+    SendOrder(*placed_.Find(name));
   }
 }
 
-auto Owner::Impl::Direct(const tasks::PlacedAttempt& attempt) -> void {
+auto Owner::Impl::SendOrder(const tasks::PlacedAttempt& attempt) -> void {
   const tasks::AgentState* agent = agents_.Find(attempt.instance);
   if (agent == nullptr || !agent->confirmed() || attempt.end_issued ||
       agent->instance_incarnation != attempt.instance_incarnation) {
--- a/Source/Tasks/owner_orders.cc
+++ b/Source/Tasks/owner_orders.cc
@@ -4,8 +4,8 @@
 
 namespace rhubarbhaven::tasks {
 
-auto OwnerOrders::Message(const std::string& agent) const -> OrderAgent {
-  OrderAgent order;
+auto OwnerOrders::Message(const std::string& agent) const -> SendToSupervisor {
+  SendToSupervisor order;
   order.agent = agent;
   order.message.set_sender(options_.entry_id);
   order.message.set_sender_incarnation(options_.entry_incarnation);
@@ -17,8 +17,8 @@
                         uint64_t number,
                         std::chrono::milliseconds ttl,
                         std::chrono::milliseconds verified_ago) const
-    -> OrderAgent {
-  OrderAgent order = Message(agent);
+    -> SendToSupervisor {
+  SendToSupervisor order = Message(agent);
   schema::LeaseGrant* grant = order.message.mutable_lease_grant();
   grant->set_cell(options_.cell);
   grant->set_fence(fence);
@@ -32,8 +32,9 @@
 auto OwnerOrders::Order(uint64_t fence,
                         const AgentState& agent,
                         schema::OrderKind kind,
-                        const PlacedAttempt& attempt) const -> OrderAgent {
-  OrderAgent message = Message(agent.agent);
+                        const PlacedAttempt& attempt) const
+    -> SendToSupervisor {
+  SendToSupervisor message = Message(agent.agent);
   schema::TaskOrder* order = message.message.mutable_task_order();
   order->set_cell(options_.cell);
   order->set_fence(fence);
@@ -50,8 +51,8 @@
 auto OwnerOrders::Start(uint64_t fence,
                         const AgentState& agent,
                         const PlacedAttempt& attempt,
-                        const RegisterJob& job) const -> OrderAgent {
-  OrderAgent message = Order(fence, agent, schema::START, attempt);
+                        const RegisterJob& job) const -> SendToSupervisor {
+  SendToSupervisor message = Order(fence, agent, schema::START, attempt);
   schema::TaskOrder* order = message.message.mutable_task_order();
   order->set_command(job.job.command());
   order->set_checkpoint(attempt.checkpoint);
--- a/Source/Tasks/owner_orders.h
+++ b/Source/Tasks/owner_orders.h
@@ -10,9 +10,9 @@
 
 namespace rhubarbhaven::tasks {
 
-// Builds what an owner sends to agents. Each order quotes the agent's latest
-// request, which dates it on the agent's clock, and names the incarnations of
-// agent and worker for which it is meant.
+// Builds the messages from an owner to agents. Each order refers to the agent's
+// latest request, which dates it on the agent's clock, and names the
+// incarnations of agent and worker for which it is valid.
 class OwnerOrders {
  public:
   explicit OwnerOrders(const OwnerOptions& options) : options_(options) {}
@@ -21,18 +21,18 @@
              const std::string& agent,
              uint64_t number,
              std::chrono::milliseconds ttl,
-             std::chrono::milliseconds verified_ago) const -> OrderAgent;
+             std::chrono::milliseconds verified_ago) const -> SendToSupervisor;
   auto Order(uint64_t fence,
              const AgentState& agent,
              schema::OrderKind kind,
-             const PlacedAttempt& attempt) const -> OrderAgent;
+             const PlacedAttempt& attempt) const -> SendToSupervisor;
   auto Start(uint64_t fence,
              const AgentState& agent,
              const PlacedAttempt& attempt,
-             const RegisterJob& job) const -> OrderAgent;
+             const RegisterJob& job) const -> SendToSupervisor;
 
  private:
-  auto Message(const std::string& agent) const -> OrderAgent;
+  auto Message(const std::string& agent) const -> SendToSupervisor;
 
   OwnerOptions options_;
 };
--- a/Source/Tasks/owner_register.h
+++ b/Source/Tasks/owner_register.h
@@ -11,7 +11,7 @@
 
 namespace rhubarbhaven::tasks {
 
-// The cell of instances that name none.
+// Cell of instances that specify none.
 inline constexpr char kDefaultCell[] = "cell-0";
 
 struct RegisterJob {
@@ -27,17 +27,17 @@
   schema::Instance instance;
 };
 
-// The part of the configuration that concerns one cell.
+// The part of the configuration that applies to one cell.
 class Register {
  public:
   explicit Register(std::string cell);
 
-  // Replaces everything. Returns the keys of jobs that were added, changed or
-  // removed.
+  // Replaces the whole content. Returns the keys of jobs that were added,
+  // changed or removed.
   auto Load(const std::vector<schema::VersionedObject>& objects)
       -> std::set<std::string>;
 
-  // By "partner/job#created".
+  // Keyed by "partner/job#created".
   auto jobs() const -> const std::map<std::string, RegisterJob>& {
     return jobs_;
   }
@@ -47,7 +47,7 @@
   auto rules() const -> const std::map<std::string, schema::PartnerRules>& {
     return rules_;
   }
-  // By partner.
+  // Keyed by partner.
   auto teams() const
       -> const std::map<std::string, std::vector<schema::Team>>& {
     return teams_;
@@ -58,15 +58,15 @@
   }
   auto FindJob(const schema::TaskId& task) const -> const RegisterJob*;
   auto FindInstance(const std::string& name) const -> const RegisterInstance*;
-  // What the endpoints on an instance of the partner may reserve: the largest
-  // of its services in each dimension, since the register does not say which
-  // one runs where.
+  // Resources that the endpoints on an instance of the partner may reserve: the
+  // largest reservation among the partner's services in each dimension, since
+  // the register does not specify which service runs where.
   auto Reserved(const std::string& partner) const -> schema::Resources;
 
  private:
   auto LoadObject(const schema::VersionedObject& object) -> void;
-  // The cell that runs a job, by rendezvous hashing over the cells that
-  // instances name.
+  // Selects the cell that runs a job by rendezvous hashing over the cells named
+  // by instances.
   auto CellOf(const std::string& partner, const std::string& job) const
       -> std::string;
 
--- a/Source/Tasks/owner_scheduler.cc
+++ b/Source/Tasks/owner_scheduler.cc
@@ -10,13 +10,16 @@
 namespace rhubarbhaven::tasks {
 namespace {
 
-// An agent that was not heard for this part of its lease takes no new work.
-constexpr int kSilentPart = 2;
-// As bad as a service slowed down by a factor e: tried elsewhere first.
+// An agent that has sent no request for its lease divided by this receives no
+// new tasks.
+constexpr int kUnresponsiveDivisor = 2;
+// Equivalent to slowing a service down by a factor of e, so that other
+// instances are tried first.
 constexpr double kFailedHereCost = 1;
 
-// A task that only ran beside the cause is hardly there so often.
-constexpr uint32_t kFewestCrashes = 3;
+// Minimum number of crashes after which a task is marked as failed. A task that
+// merely runs beside the cause is unlikely to be present at so many.
+constexpr uint32_t kMinCrashesToFail = 3;
 
 auto JobName(const std::string& partner, const std::string& job)
     -> std::string {
@@ -29,7 +32,7 @@
   const uint32_t attempts = job.job.max_attempts();
   return job.job.cancelled() || state.last_outcome() == schema::FINISHED ||
          (attempts > 0 && state.failures() >= attempts) ||
-         state.crashes() >= std::max(kFewestCrashes, attempts);
+         state.crashes() >= std::max(kMinCrashesToFail, attempts);
 }
 
 OwnerScheduler::OwnerScheduler(const OwnerOptions& options,
@@ -52,9 +55,10 @@
                                const std::string& instance) const -> double {
   const auto& partner = task.task.partner();
   const auto& job = task.task.job();
-  const double harm = interference_.PlacementCost(now_, instance, partner, job);
+  const double interference_cost =
+      interference_.PlacementCost(now_, instance, partner, job);
   const bool failed = health_.HasFailedOn(instance, partner, job);
-  return harm + (failed ? kFailedHereCost : 0);
+  return interference_cost + (failed ? kFailedHereCost : 0);
 }
 
 auto OwnerScheduler::Begin(TimePoint now) -> void {
@@ -127,7 +131,7 @@
   if (placed || over || in_flight_.contains(name) || job.job.cancelled()) {
     return;
   }
-  PendingTask pending = Pending(now, job, index);
+  PendingTask pending = MakePendingTask(now, job, index);
   if (Fits(pending.need, job.job.need())) {
     raised_need_.erase(name);
   } else {
@@ -136,9 +140,9 @@
   placer_.AddPending(std::move(pending));
 }
 
-auto OwnerScheduler::Pending(TimePoint now,
-                             const RegisterJob& job,
-                             uint32_t index) const -> PendingTask {
+auto OwnerScheduler::MakePendingTask(TimePoint now,
+                                     const RegisterJob& job,
+                                     uint32_t index) const -> PendingTask {
   PendingTask pending;
   pending.task = job.Task(index);
   const auto known = fold_->tasks().find(TaskName(pending.task));
@@ -147,9 +151,9 @@
   }
   pending.team = job.job.team();
   pending.need = job.job.need();
-  const auto seen = seen_.find(JobName(job.partner, job.job.name()));
-  if (seen != seen_.end()) {
-    pending.need = Larger(pending.need, seen->second);
+  const auto peak = peak_usage_.find(JobName(job.partner, job.job.name()));
+  if (peak != peak_usage_.end()) {
+    pending.need = Larger(pending.need, peak->second);
   }
   pending.urgency = job.job.urgency();
   pending.priority = job.job.priority();
@@ -166,7 +170,7 @@
   PlacedTask placed;
   const RegisterJob* job = config_->FindJob(state.task());
   if (job != nullptr) {
-    placed.spec = Pending(now, *job, state.task().index());
+    placed.spec = MakePendingTask(now, *job, state.task().index());
   }
   placed.spec.task = state.task();
   placed.spec.attempt = state.attempt();
@@ -231,8 +235,8 @@
   const schema::TaskId& task = usage.task();
   if (!task.job().empty()) {
     placer_.RaiseHeld(task, usage.used());
-    schema::Resources& seen = seen_[JobName(task.partner(), task.job())];
-    seen = Larger(seen, usage.used());
+    schema::Resources& peak = peak_usage_[JobName(task.partner(), task.job())];
+    peak = Larger(peak, usage.used());
   }
   const TimePoint measured = now - std::chrono::milliseconds(usage.age_ms());
   return interference_.OnReport(now, measured, instance, usage);
@@ -249,7 +253,7 @@
     }
     placer_.RemoveWorker(name);
     interference_.RemoveInstance(name);
-    told_.erase(name);
+    last_synced_.erase(name);
     return true;
   });
 }
@@ -272,16 +276,17 @@
                           : Smaller(worker.capacity, agent->capacity);
   }
   worker.reserved = config_->Reserved(entry.partner);
-  worker.accepting = WhyNot(now, instance).empty();
-  const std::string told = absl::StrCat(
+  worker.accepting = IneligibleReason(now, instance).empty();
+  const std::string synced = absl::StrCat(
       entry.instance.SerializeAsString(), worker.capacity.SerializeAsString(),
       worker.reserved.SerializeAsString(), worker.accepting ? "+" : "-");
-  if (std::exchange(told_[instance], told) != told) {
+  if (std::exchange(last_synced_[instance], synced) != synced) {
     placer_.SetWorker(worker);
   }
 }
 
-auto OwnerScheduler::WhyNot(TimePoint now, const std::string& instance) const
+auto OwnerScheduler::IneligibleReason(TimePoint now,
+                                      const std::string& instance) const
     -> std::string {
   const RegisterInstance* entry = config_->FindInstance(instance);
   if (entry == nullptr) {
@@ -294,7 +299,8 @@
   if (entry->instance.lost_incarnation() == agent->instance_incarnation) {
     return "lost";
   }
-  if (now - agent->last_heard > options_.lease_ttl / kSilentPart) {
+  if (now - agent->last_request_at >
+      options_.lease_ttl / kUnresponsiveDivisor) {
     return "silent";
   }
   if (entry->instance.draining() || agent->leaving) {
@@ -303,7 +309,7 @@
   if (health_.Check(now, instance) == WorkerHealth::Verdict::kQuarantined) {
     return "set_aside";
   }
-  if (now < agent->hold_until) {
+  if (now < agent->no_placements_until) {
     return "full";
   }
   return "";
@@ -318,7 +324,8 @@
     const WorkerHealth::Verdict verdict = health_.Check(now, decision.instance);
     in_flight_.insert(TaskName(decision.task));
     if (verdict == WorkerHealth::Verdict::kQuarantined) {
-      // A probe was given out in this round; the rest waits for its outcome.
+      // A probe was started in this round; the remaining placements wait for
+      // its outcome.
       OnPlacementVoid(now, decision.task);
       continue;
     }
--- a/Source/Tasks/owner_scheduler.h
+++ b/Source/Tasks/owner_scheduler.h
@@ -16,8 +16,8 @@
 
 namespace rhubarbhaven::tasks {
 
-// Feeds the placer, the workers' health and the interference model of a cell
-// that is owned, from its log, its register and its agents.
+// Updates the placer, the worker health tracker and the interference model of
+// an owned cell from its log, register and agents.
 class OwnerScheduler {
  public:
   OwnerScheduler(const OwnerOptions& options,
@@ -25,12 +25,12 @@
                  const Register* config,
                  const AgentTable* agents);
 
-  // Takes up everything that the log and the register say.
+  // Loads the present state of the log and the register.
   auto Begin(TimePoint now) -> void;
   auto OnConfig(TimePoint now, const std::set<std::string>& changed_jobs)
       -> void;
   auto OnPlaced(TimePoint now, const schema::TaskState& state) -> void;
-  // The placement did not take effect and never will.
+  // Called when a placement did not take effect and never will.
   auto OnPlacementVoid(TimePoint now, const schema::TaskId& task) -> void;
   auto OnRunning(TimePoint now,
                  const std::string& instance,
@@ -44,28 +44,31 @@
                const std::string& instance,
                const schema::UsageReport& usage)
       -> std::vector<InterferenceAction>;
-  // Tells the placer which workers take work now.
+  // Updates the placer on which workers accept tasks now.
   auto SyncWorkers(TimePoint now) -> void;
   auto Round(TimePoint now) -> PlacerRound;
 
   auto Explain(TimePoint now, const schema::TaskId& task) const -> Explanation;
-  // What the placer counts for a placement that it decided.
+  // Resources that the placer reserves for a placement that it decided.
   auto Admitted(const schema::TaskId& task) const -> schema::Resources;
-  // Empty if the instance may take work, else why not.
-  auto WhyNot(TimePoint now, const std::string& instance) const -> std::string;
+  // Returns why the instance does not accept tasks, or an empty string if it
+  // does.
+  auto IneligibleReason(TimePoint now, const std::string& instance) const
+      -> std::string;
   auto pending() const -> std::size_t { return placer_.pending(); }
   auto in_flight() const -> std::size_t { return in_flight_.size(); }
 
  private:
-  // Cost of running the task on the instance beyond fit.
+  // Cost of running the task on the instance, in addition to the cost of fit.
   auto ExtraCost(const PendingTask& task, const std::string& instance) const
       -> double;
   auto LoadRules() -> void;
   auto AddPendingJob(TimePoint now, const RegisterJob& job) -> void;
   auto AddPending(TimePoint now, const RegisterJob& job, uint32_t index)
       -> void;
-  auto Pending(TimePoint now, const RegisterJob& job, uint32_t index) const
-      -> PendingTask;
+  auto MakePendingTask(TimePoint now,
+                       const RegisterJob& job,
+                       uint32_t index) const -> PendingTask;
   auto SetWorker(TimePoint now, const std::string& instance) -> void;
 
   OwnerOptions options_;
@@ -76,20 +79,20 @@
   WorkerHealth health_;
   Placer placer_;
   TimePoint now_;
-  // Names of tasks whose placement is under way to the log.
+  // Names of tasks whose placement is being appended to the log.
   std::set<std::string> in_flight_;
-  // Names of tasks that were reported to the interference model as running.
+  // Names of tasks reported to the interference model as running.
   std::set<std::string> started_;
-  // Need that the placer was given, where it is not the declared one.
+  // Resource needs passed to the placer that exceed the declared ones.
   std::map<std::string, schema::Resources> raised_need_;
-  // Largest usage seen of a job's tasks, by "partner/job".
-  std::map<std::string, schema::Resources> seen_;
+  // Largest usage observed of a job's tasks, keyed by "partner/job".
+  std::map<std::string, schema::Resources> peak_usage_;
   std::set<std::string> known_workers_;
-  // What the placer was told of each worker last.
-  std::map<std::string, std::string> told_;
+  // Serialized state of each worker that was last passed to the placer.
+  std::map<std::string, std::string> last_synced_;
 };
 
-// True if the task must not be placed (again): done, cancelled or given up.
+// True if the task must not be placed again: finished, cancelled or failed.
 auto IsOver(const RegisterJob& job, const schema::TaskState& state) -> bool;
 
 }  // namespace rhubarbhaven::tasks
--- a/Source/Tasks/owner_tasks.h
+++ b/Source/Tasks/owner_tasks.h
@@ -11,7 +11,7 @@
 
 namespace rhubarbhaven::tasks {
 
-// What an owner remembers of a placed attempt beyond the log.
+// State of a placed attempt that an owner keeps in addition to the log.
 struct PlacedAttempt {
   enum class Stop { kNone, kCancel, kEvict };
 
@@ -22,17 +22,17 @@
   schema::Resources admitted;
   Stop stop = Stop::kNone;
   std::string why;
-  // The agent said that it runs; the latest it said of it.
+  // Latest report of the agent on the attempt.
   bool running = false;
   std::string checkpoint;
   uint32_t progress_permille = 0;
   bool throttled = false;
   bool want_throttled = false;
-  // A record of its end is under way.
+  // The record of its end is being appended.
   bool end_issued = false;
 };
 
-// The placed attempts of a cell, by task name and by instance.
+// The placed attempts of a cell, indexed by task name and by instance.
 class PlacedAttempts {
  public:
   auto Add(const schema::TaskState& state) -> PlacedAttempt&;
@@ -40,11 +40,11 @@
   auto Clear() -> void;
   auto Find(const std::string& name) -> PlacedAttempt*;
   auto Find(const std::string& name) const -> const PlacedAttempt*;
-  // The attempt if it is the one placed on the instance.
+  // Returns the attempt if it is the one placed on the instance, else null.
   auto FindOn(const std::string& instance,
               const schema::TaskId& task,
               uint32_t attempt) -> PlacedAttempt*;
-  // Names of the tasks that are placed on the instance.
+  // Names of the tasks placed on the instance.
   auto On(const std::string& instance) const -> const std::set<std::string>&;
   auto all() -> std::map<std::string, PlacedAttempt>& { return attempts_; }
   auto all() const -> const std::map<std::string, PlacedAttempt>& {
--- a/Source/Tasks/owner_views.cc
+++ b/Source/Tasks/owner_views.cc
@@ -57,15 +57,16 @@
     view.state = "unknown";
     view.tasks = static_cast<uint32_t>(placed_.On(name).size());
     if (scheduler_ != nullptr) {
-      const std::string why = scheduler_->WhyNot(now, name);
+      const std::string why = scheduler_->IneligibleReason(now, name);
       view.state = why.empty() || why == "full" ? "leased" : why;
     }
     const tasks::AgentState* agent = agents_.Find(name);
     if (agent != nullptr && agent->confirmed()) {
       view.agent = agent->agent;
       view.incarnation = agent->instance_incarnation;
-      view.silent_for = std::chrono::duration_cast<std::chrono::milliseconds>(
-          now - agent->last_heard);
+      view.unresponsive_for =
+          std::chrono::duration_cast<std::chrono::milliseconds>(
+              now - agent->last_request_at);
     }
   }
   return views;
@@ -91,9 +92,9 @@
   }
   if (what == "failed") {
     return absl::StrCat(
-        "failed: gave up after ", state->failures(), " failures and ",
-        state->crashes(),
-        " crashes of its instance, the last: ", state->detail());
+        "failed: no further attempts after ", state->failures(),
+        " failures and ", state->crashes(),
+        " crashes of its instance; last failure: ", state->detail());
   }
   if (state != nullptr && state->placed()) {
     return absl::StrCat(what, ": attempt ", state->attempt(), " on ",
--- a/Source/Tasks/resource_math.h
+++ b/Source/Tasks/resource_math.h
@@ -5,10 +5,10 @@
 
 namespace rhubarbhaven::tasks {
 
-// The larger of both, in each dimension.
+// The larger value in each dimension.
 auto Larger(const schema::Resources& a, const schema::Resources& b)
     -> schema::Resources;
-// The smaller of both, in each dimension.
+// The smaller value in each dimension.
 auto Smaller(const schema::Resources& a, const schema::Resources& b)
     -> schema::Resources;
 auto Sum(const schema::Resources& a, const schema::Resources& b)
--- a/Source/Tasks/keeper_table.cc
+++ b/Source/Tasks/supervised_attempts.cc
@@ -1,90 +1,92 @@
-#include "Tasks/keeper_table.h"
+#include "Tasks/supervised_attempts.h"
 
 #include "Tasks/resource_math.h"
 
 namespace rhubarbhaven::tasks {
 
-auto KeeperTable::Find(const std::string& key) -> KeeperTask* {
+auto SupervisedAttempts::Find(const std::string& key) -> SupervisedAttempt* {
   const auto found = tasks_.find(key);
   return found == tasks_.end() ? nullptr : &found->second;
 }
 
-auto KeeperTable::Add(const WorkerTaskName& name) -> KeeperTask& {
+auto SupervisedAttempts::Add(const WorkerTaskName& name) -> SupervisedAttempt& {
   const std::string key = AttemptKey(name.task, name.attempt);
-  KeeperTask& task = tasks_[key];
+  SupervisedAttempt& task = tasks_[key];
   task.name = name;
   task.key = key;
-  task.text = FormatWorkerTaskName(name);
+  task.worker_name = FormatWorkerTaskName(name);
   return task;
 }
 
-auto KeeperTable::Forget(const std::string& key, TimePoint until) -> void {
-  // First, as the key may be the task's own.
+auto SupervisedAttempts::Forget(const std::string& key, TimePoint until)
+    -> void {
+  // Must precede the erase: `key` may be a reference into the erased attempt.
   forgotten_[key] = until;
   tasks_.erase(key);
 }
 
-auto KeeperTable::IsForgotten(TimePoint now, const std::string& key) const
-    -> bool {
+auto SupervisedAttempts::IsForgotten(TimePoint now,
+                                     const std::string& key) const -> bool {
   const auto found = forgotten_.find(key);
   return found != forgotten_.end() && now < found->second;
 }
 
-auto KeeperTable::HasOtherAttempt(const WorkerTaskName& name) const -> bool {
+auto SupervisedAttempts::HasOtherAttempt(const WorkerTaskName& name) const
+    -> bool {
   for (const auto& [key, task] : tasks_) {
     const schema::TaskId& other = task.name.task;
     const bool same = other.partner() == name.task.partner() &&
                       other.job() == name.task.job() &&
                       other.index() == name.task.index() &&
                       other.job_version() == name.task.job_version();
-    if (same && task.name.attempt != name.attempt && !task.over()) {
+    if (same && task.name.attempt != name.attempt && !task.is_final()) {
       return true;
     }
   }
   return false;
 }
 
-auto KeeperTable::held() const -> schema::Resources {
+auto SupervisedAttempts::held() const -> schema::Resources {
   schema::Resources total;
   for (const auto& [key, task] : tasks_) {
-    if (!task.over() && task.refuse_why.empty()) {
-      total = Sum(total, Larger(task.name.admitted, task.seen));
+    if (!task.is_final() && task.reject_reason.empty()) {
+      total = Sum(total, Larger(task.name.admitted, task.observed_usage));
     }
   }
   return total;
 }
 
-auto KeeperTable::Running() const -> std::vector<schema::RunningTask> {
+auto SupervisedAttempts::Running() const -> std::vector<schema::RunningTask> {
   std::vector<schema::RunningTask> running;
   for (const auto& [key, task] : tasks_) {
-    if (task.phase == KeeperTask::Phase::kRunning) {
-      running.push_back(RunningOf(task));
+    if (task.phase == SupervisedAttempt::Phase::kRunning) {
+      running.push_back(ToRunningTask(task));
     }
   }
   return running;
 }
 
-auto KeeperTable::Ended() const -> std::vector<schema::EndedTask> {
+auto SupervisedAttempts::Ended() const -> std::vector<schema::EndedTask> {
   std::vector<schema::EndedTask> ended;
   for (const auto& [key, task] : tasks_) {
-    if (task.phase == KeeperTask::Phase::kEnded && !task.recorded) {
-      ended.push_back(EndedOf(task));
+    if (task.phase == SupervisedAttempt::Phase::kEnded && !task.recorded) {
+      ended.push_back(ToEndedTask(task));
     }
   }
   return ended;
 }
 
-auto KeeperTable::Refused() const -> std::vector<schema::RefusedOrder> {
+auto SupervisedAttempts::Rejected() const -> std::vector<schema::RefusedOrder> {
   std::vector<schema::RefusedOrder> refused;
   for (const auto& [key, task] : tasks_) {
-    if (task.phase == KeeperTask::Phase::kRefused && !task.recorded) {
-      refused.push_back(RefusedOf(task));
+    if (task.phase == SupervisedAttempt::Phase::kRejected && !task.recorded) {
+      refused.push_back(ToRefusedOrder(task));
     }
   }
   return refused;
 }
 
-auto RunningOf(const KeeperTask& task) -> schema::RunningTask {
+auto ToRunningTask(const SupervisedAttempt& task) -> schema::RunningTask {
   schema::RunningTask running;
   *running.mutable_task() = task.name.task;
   running.set_attempt(task.name.attempt);
@@ -94,7 +96,7 @@
   return running;
 }
 
-auto EndedOf(const KeeperTask& task) -> schema::EndedTask {
+auto ToEndedTask(const SupervisedAttempt& task) -> schema::EndedTask {
   schema::EndedTask ended;
   *ended.mutable_task() = task.name.task;
   ended.set_attempt(task.name.attempt);
@@ -104,11 +106,11 @@
   return ended;
 }
 
-auto RefusedOf(const KeeperTask& task) -> schema::RefusedOrder {
+auto ToRefusedOrder(const SupervisedAttempt& task) -> schema::RefusedOrder {
   schema::RefusedOrder refused;
   *refused.mutable_task() = task.name.task;
   refused.set_attempt(task.name.attempt);
-  refused.set_why(task.refuse_why);
+  refused.set_why(task.reject_reason);
   return refused;
 }
 
--- a/Source/Tasks/task_keeper.cc
+++ b/Source/Tasks/task_supervisor.cc
@@ -1,27 +1,27 @@
-#include "Tasks/task_keeper.h"
+#include "Tasks/task_supervisor.h"
 
 #include <algorithm>
 #include <set>
 #include <utility>
 
-#include "Tasks/keeper_lease.h"
-#include "Tasks/keeper_table.h"
-#include "Tasks/keeper_worker.h"
 #include "Tasks/owner_register.h"
 #include "Tasks/resource_math.h"
+#include "Tasks/supervised_attempts.h"
+#include "Tasks/supervisor_lease.h"
+#include "Tasks/worker_driver.h"
 
 namespace rhubarbhaven {
 namespace {
 
 using tasks::AttemptKey;
-using tasks::KeeperTask;
-using Verdict = tasks::KeeperLease::Verdict;
+using tasks::SupervisedAttempt;
+using Verdict = tasks::SupervisorLease::Verdict;
 
-// Every so many requests go to all entries, so that a new owner hears of the
-// agent while an old one still grants leases.
+// One in this many requests is sent to all entries, so that a new owner
+// receives it while the old one still grants leases.
 constexpr uint64_t kRequestsPerBroadcast = 4;
 
-auto WithCell(KeeperOptions options) -> KeeperOptions {
+auto WithCell(SupervisorOptions options) -> SupervisorOptions {
   if (options.cell.empty()) {
     options.cell = tasks::kDefaultCell;
   }
@@ -30,17 +30,17 @@
 
 }  // namespace
 
-class TaskKeeper::Impl {
+class TaskSupervisor::Impl {
  public:
-  explicit Impl(KeeperOptions options)
+  explicit Impl(SupervisorOptions options)
       : options_(WithCell(std::move(options))),
         lease_(options_.agent_incarnation, options_.lease_ttl),
         worker_(options_, &table_, &lease_) {}
 
   auto Begin(TimePoint now) -> void {
-    if (!born_) {
-      born_ = true;
-      worker_.SetBirth(now);
+    if (!started_) {
+      started_ = true;
+      worker_.SetStartTime(now);
       next_request_ = now;
     }
   }
@@ -48,32 +48,33 @@
   auto OnGrant(TimePoint now,
                const std::string& entry,
                const schema::LeaseGrant& grant,
-               KeeperActions* actions) -> void {
+               SupervisorActions* actions) -> void {
     if (grant.cell() != options_.cell) {
-      actions->push_back(CountKeeper{"grant_wrong_cell"});
+      actions->push_back(CountSupervisorEvent{"grant_wrong_cell"});
       return;
     }
     const uint64_t fence = lease_.fence();
     switch (lease_.OnGrant(now, entry, grant)) {
-      case Verdict::kTaken:
+      case Verdict::kGranted:
         if (fence != lease_.fence()) {
           worker_.usage().Reset();
           running_changed_ = true;
         }
         break;
       case Verdict::kUnknownNumber:
-        actions->push_back(CountKeeper{"grant_unknown_number"});
+        actions->push_back(CountSupervisorEvent{"grant_unknown_number"});
         return;
       case Verdict::kLate:
-        actions->push_back(CountKeeper{"grant_late"});
+        actions->push_back(CountSupervisorEvent{"grant_late"});
         return;
       case Verdict::kStaleFence:
-        actions->push_back(CountKeeper{"grant_stale_fence"});
+        actions->push_back(CountSupervisorEvent{"grant_stale_fence"});
         return;
     }
     for (const schema::EndedTask& ended : grant.recorded()) {
-      KeeperTask* task = table_.Find(AttemptKey(ended.task(), ended.attempt()));
-      if (task != nullptr && task->over()) {
+      SupervisedAttempt* task =
+          table_.Find(AttemptKey(ended.task(), ended.attempt()));
+      if (task != nullptr && task->is_final()) {
         task->recorded = true;
       }
     }
@@ -81,10 +82,10 @@
 
   auto OnOrder(TimePoint now,
                const schema::TaskOrder& order,
-               KeeperActions* actions) -> void {
-    const std::string refusal = OrderRefusal(order);
-    if (!refusal.empty()) {
-      actions->push_back(CountKeeper{refusal});
+               SupervisorActions* actions) -> void {
+    const std::string counter = RejectionCounter(order);
+    if (!counter.empty()) {
+      actions->push_back(CountSupervisorEvent{counter});
       return;
     }
     switch (order.kind()) {
@@ -92,17 +93,17 @@
         OnStart(now, order, actions);
         return;
       case schema::STOP:
-        OnStop(order, KeeperTask::Stop::kStop);
+        OnStop(order, SupervisedAttempt::Stop::kStop);
         return;
       case schema::CHECKPOINT_AND_STOP:
-        OnStop(order, KeeperTask::Stop::kCheckpointAndStop);
+        OnStop(order, SupervisedAttempt::Stop::kCheckpointAndStop);
         return;
       case schema::THROTTLE:
       case schema::UNTHROTTLE:
         OnThrottle(order);
         return;
       default:
-        actions->push_back(CountKeeper{"order_unknown_kind"});
+        actions->push_back(CountSupervisorEvent{"order_unknown_kind"});
         return;
     }
   }
@@ -110,14 +111,15 @@
   auto Leave() -> void {
     leaving_ = true;
     for (auto& [key, task] : table_.all()) {
-      if (task.stop == KeeperTask::Stop::kNone && !task.over()) {
-        task.stop = KeeperTask::Stop::kCheckpointAndStop;
+      if (task.stop == SupervisedAttempt::Stop::kNone && !task.is_final()) {
+        task.stop = SupervisedAttempt::Stop::kCheckpointAndStop;
       }
     }
   }
 
-  // After each event: calls that are due, reports of changes, requests.
-  auto Advance(TimePoint now, KeeperActions* actions) -> void {
+  // Runs after each event: makes the calls that are due, reports changes and
+  // sends lease requests.
+  auto Advance(TimePoint now, SupervisorActions* actions) -> void {
     if (leaving_) {
       Leave();
     }
@@ -129,7 +131,7 @@
   }
 
   auto next_wake() const -> TimePoint {
-    // Until the worker was heard there is nothing to ask for.
+    // No lease is requested before the first status of the worker.
     return worker_.incarnation() == 0
                ? worker_.next_wake()
                : std::min(next_request_, worker_.next_wake());
@@ -138,18 +140,19 @@
   auto idle() const -> bool {
     return leaving_ && std::all_of(table_.all().begin(), table_.all().end(),
                                    [](const auto& task) {
-                                     return task.second.over() &&
+                                     return task.second.is_final() &&
                                             task.second.recorded;
                                    });
   }
 
-  auto worker() -> tasks::KeeperWorker& { return worker_; }
-  auto lease() const -> const tasks::KeeperLease& { return lease_; }
-  auto table() const -> const tasks::KeeperTable& { return table_; }
+  auto worker() -> tasks::WorkerDriver& { return worker_; }
+  auto lease() const -> const tasks::SupervisorLease& { return lease_; }
+  auto table() const -> const tasks::SupervisedAttempts& { return table_; }
 
  private:
-  // Name of the counter, or empty if the order may be looked at.
-  auto OrderRefusal(const schema::TaskOrder& order) const -> std::string {
+  // Returns the counter for the reason why the order is rejected, or an empty
+  // string if the order is valid.
+  auto RejectionCounter(const schema::TaskOrder& order) const -> std::string {
     if (order.cell() != options_.cell) {
       return "order_wrong_cell";
     }
@@ -167,45 +170,46 @@
 
   auto OnStart(TimePoint now,
                const schema::TaskOrder& order,
-               KeeperActions* actions) -> void {
+               SupervisorActions* actions) -> void {
     const std::string key = AttemptKey(order.task(), order.attempt());
-    KeeperTask* known = table_.Find(key);
+    SupervisedAttempt* known = table_.Find(key);
     if (known != nullptr) {
-      if (known->over()) {
+      if (known->is_final()) {
         reportable_.insert(key);
       }
       return;
     }
     if (table_.IsForgotten(now, key)) {
-      actions->push_back(CountKeeper{"order_ended_attempt"});
+      actions->push_back(CountSupervisorEvent{"order_ended_attempt"});
       return;
     }
     if (order.fence() != lease_.fence() || !lease_.leased(now)) {
-      actions->push_back(CountKeeper{"order_unleased"});
+      actions->push_back(CountSupervisorEvent{"order_unleased"});
       return;
     }
-    // What goes wrong: an order that was long under way starts a task that
-    // its owner, counting this lease as over, has placed elsewhere. Quoting a
-    // request of this agent dates the order on this agent's clock.
+    // An order that was delayed in the network could start a task that the
+    // owner, counting this lease as expired, has placed elsewhere. The order
+    // refers to a request of this agent, which dates it on this agent's clock.
     if (!lease_.IsRecent(now, order.lease_number())) {
-      actions->push_back(CountKeeper{"order_late"});
+      actions->push_back(CountSupervisorEvent{"order_late"});
       return;
     }
     const tasks::WorkerTaskName name{.task = order.task(),
                                      .attempt = order.attempt(),
                                      .admitted = order.need()};
-    const std::string why = StartRefusal(name);
-    KeeperTask& task = table_.Add(name);
+    const std::string why = StartRejectionReason(name);
+    SupervisedAttempt& task = table_.Add(name);
     task.command = order.command();
     task.checkpoint = order.checkpoint();
-    task.start_not_after = worker_.birth_lease_end();
-    task.refuse_why = why;
+    task.start_not_after = worker_.initial_lease_end();
+    task.reject_reason = why;
     if (!why.empty()) {
-      actions->push_back(CountKeeper{"order_refused"});
+      actions->push_back(CountSupervisorEvent{"order_refused"});
     }
   }
 
-  auto StartRefusal(const tasks::WorkerTaskName& name) const -> std::string {
+  auto StartRejectionReason(const tasks::WorkerTaskName& name) const
+      -> std::string {
     if (leaving_) {
       return "the agent is leaving";
     }
@@ -220,48 +224,50 @@
     return "";
   }
 
-  auto OnStop(const schema::TaskOrder& order, KeeperTask::Stop stop) -> void {
+  auto OnStop(const schema::TaskOrder& order, SupervisedAttempt::Stop stop)
+      -> void {
     const std::string key = AttemptKey(order.task(), order.attempt());
-    KeeperTask* task = table_.Find(key);
+    SupervisedAttempt* task = table_.Find(key);
     if (task == nullptr) {
-      // Not known: from here on it is refused, which is what the owner needs
-      // to know before it may place the task elsewhere.
+      // The attempt is unknown here. It is rejected from now on, which the
+      // owner must know before it may place the task elsewhere.
       task = &table_.Add({.task = order.task(),
                           .attempt = order.attempt(),
                           .admitted = order.need()});
-      task->start_not_after = worker_.birth_lease_end();
-      task->refuse_why = "stopped before its start";
+      task->start_not_after = worker_.initial_lease_end();
+      task->reject_reason = "stopped before its start";
     }
-    if (task->over()) {
+    if (task->is_final()) {
       reportable_.insert(key);
-    } else if (task->stop != KeeperTask::Stop::kStop) {
+    } else if (task->stop != SupervisedAttempt::Stop::kStop) {
       task->stop = stop;
     }
   }
 
   auto OnThrottle(const schema::TaskOrder& order) -> void {
-    KeeperTask* task = table_.Find(AttemptKey(order.task(), order.attempt()));
+    SupervisedAttempt* task =
+        table_.Find(AttemptKey(order.task(), order.attempt()));
     if (task != nullptr) {
       task->want_throttled = order.kind() == schema::THROTTLE;
     }
   }
 
-  auto Report(KeeperActions* actions) -> void {
+  auto Report(SupervisorActions* actions) -> void {
     reportable_.merge(worker_.TakeChanged());
     running_changed_ = running_changed_ || !reportable_.empty();
     SendToOwner send;
     schema::TaskReport* report = send.message.mutable_task_report();
     for (const std::string& key : reportable_) {
-      const KeeperTask* task = table_.Find(key);
+      const SupervisedAttempt* task = table_.Find(key);
       if (task == nullptr) {
         continue;
       }
-      if (task->phase == KeeperTask::Phase::kRunning) {
-        *report->add_started() = tasks::RunningOf(*task);
-      } else if (task->phase == KeeperTask::Phase::kEnded) {
-        *report->add_ended() = tasks::EndedOf(*task);
-      } else if (task->phase == KeeperTask::Phase::kRefused) {
-        *report->add_refused() = tasks::RefusedOf(*task);
+      if (task->phase == SupervisedAttempt::Phase::kRunning) {
+        *report->add_started() = tasks::ToRunningTask(*task);
+      } else if (task->phase == SupervisedAttempt::Phase::kEnded) {
+        *report->add_ended() = tasks::ToEndedTask(*task);
+      } else if (task->phase == SupervisedAttempt::Phase::kRejected) {
+        *report->add_refused() = tasks::ToRefusedOrder(*task);
       }
     }
     reportable_.clear();
@@ -277,7 +283,7 @@
     Send(std::move(send), actions);
   }
 
-  auto Request(TimePoint now, KeeperActions* actions) -> void {
+  auto Request(TimePoint now, SupervisorActions* actions) -> void {
     next_request_ = now + options_.request_interval;
     ++requests_;
     SendToOwner send;
@@ -285,7 +291,7 @@
     request->set_cell(options_.cell);
     request->set_instance(options_.instance);
     request->set_instance_incarnation(worker_.incarnation());
-    request->set_number(lease_.Ask(now));
+    request->set_number(lease_.AddRequest(now));
     request->set_fence_seen(lease_.fence());
     request->set_leaving(leaving_);
     *request->mutable_capacity() = worker_.capacity();
@@ -293,7 +299,7 @@
     for (schema::EndedTask& ended : table_.Ended()) {
       *request->add_ended() = std::move(ended);
     }
-    for (schema::RefusedOrder& refused : table_.Refused()) {
+    for (schema::RefusedOrder& refused : table_.Rejected()) {
       *request->add_refused() = std::move(refused);
     }
     for (schema::UsageReport& usage : worker_.usage().Take(now)) {
@@ -306,102 +312,105 @@
     Send(std::move(send), actions);
   }
 
-  // The whole list only if something started or ended since it was sent, and
-  // to all entries: at 25 tasks it is most of what an agent sends.
+  // Sends the full list of running tasks only if a task has started or ended
+  // since the last full list, and in requests to all entries. With 25 tasks the
+  // list is most of what an agent sends.
   auto AddRunning(bool to_all, schema::LeaseRequest* request) -> void {
-    if (full_number_ != 0 && !to_all && !running_changed_) {
-      request->set_running_as_of(full_number_);
+    if (last_full_request_ != 0 && !to_all && !running_changed_) {
+      request->set_running_as_of(last_full_request_);
       return;
     }
     running_changed_ = false;
-    full_number_ = request->number();
+    last_full_request_ = request->number();
     for (schema::RunningTask& running : table_.Running()) {
       *request->add_running() = std::move(running);
     }
   }
 
-  auto Send(SendToOwner send, KeeperActions* actions) -> void {
+  auto Send(SendToOwner send, SupervisorActions* actions) -> void {
     send.message.set_sender(options_.agent_id);
     send.message.set_sender_incarnation(options_.agent_incarnation);
     actions->push_back(std::move(send));
   }
 
-  KeeperOptions options_;
-  tasks::KeeperTable table_;
-  tasks::KeeperLease lease_;
-  tasks::KeeperWorker worker_;
-  bool born_ = false;
+  SupervisorOptions options_;
+  tasks::SupervisedAttempts table_;
+  tasks::SupervisorLease lease_;
+  tasks::WorkerDriver worker_;
+  bool started_ = false;
   bool leaving_ = false;
   TimePoint next_request_;
   uint64_t requests_ = 0;
   std::set<std::string> reportable_;
-  // Latest request that listed what runs, and whether that has changed.
-  uint64_t full_number_ = 0;
+  // Number of the latest request that listed the running tasks, and whether the
+  // list has changed since.
+  uint64_t last_full_request_ = 0;
   bool running_changed_ = false;
 };
 
-TaskKeeper::TaskKeeper(KeeperOptions options)
+TaskSupervisor::TaskSupervisor(SupervisorOptions options)
     : impl_(std::make_unique<Impl>(std::move(options))) {}
 
-TaskKeeper::~TaskKeeper() = default;
+TaskSupervisor::~TaskSupervisor() = default;
 
-auto TaskKeeper::OnMessage(TimePoint now,
-                           const std::string& entry,
-                           const schema::Envelope& message) -> KeeperActions {
-  KeeperActions actions;
+auto TaskSupervisor::OnMessage(TimePoint now,
+                               const std::string& entry,
+                               const schema::Envelope& message)
+    -> SupervisorActions {
+  SupervisorActions actions;
   impl_->Begin(now);
   if (message.has_lease_grant()) {
     impl_->OnGrant(now, entry, message.lease_grant(), &actions);
   } else if (message.has_task_order()) {
     impl_->OnOrder(now, message.task_order(), &actions);
   } else {
-    actions.push_back(CountKeeper{"message_unexpected"});
+    actions.push_back(CountSupervisorEvent{"message_unexpected"});
   }
   impl_->Advance(now, &actions);
   return actions;
 }
 
-auto TaskKeeper::OnWorkerReply(TimePoint now, const WorkerOutcome& outcome)
-    -> KeeperActions {
-  KeeperActions actions;
+auto TaskSupervisor::OnWorkerReply(TimePoint now, const TaskCallResult& outcome)
+    -> SupervisorActions {
+  SupervisorActions actions;
   impl_->Begin(now);
   impl_->worker().OnOutcome(now, outcome, &actions);
   impl_->Advance(now, &actions);
   return actions;
 }
 
-auto TaskKeeper::Leave(TimePoint now) -> KeeperActions {
-  KeeperActions actions;
+auto TaskSupervisor::Leave(TimePoint now) -> SupervisorActions {
+  SupervisorActions actions;
   impl_->Begin(now);
   impl_->Leave();
   impl_->Advance(now, &actions);
   return actions;
 }
 
-auto TaskKeeper::OnTick(TimePoint now) -> KeeperActions {
-  KeeperActions actions;
+auto TaskSupervisor::OnTick(TimePoint now) -> SupervisorActions {
+  SupervisorActions actions;
   impl_->Begin(now);
   impl_->Advance(now, &actions);
   return actions;
 }
 
-auto TaskKeeper::next_wake() const -> TimePoint {
+auto TaskSupervisor::next_wake() const -> TimePoint {
   return impl_->next_wake();
 }
 
-auto TaskKeeper::idle() const -> bool {
+auto TaskSupervisor::idle() const -> bool {
   return impl_->idle();
 }
 
-auto TaskKeeper::leased(TimePoint now) const -> bool {
+auto TaskSupervisor::leased(TimePoint now) const -> bool {
   return impl_->lease().leased(now);
 }
 
-auto TaskKeeper::fence() const -> uint64_t {
+auto TaskSupervisor::fence() const -> uint64_t {
   return impl_->lease().fence();
 }
 
-auto TaskKeeper::running() const -> std::vector<schema::RunningTask> {
+auto TaskSupervisor::running() const -> std::vector<schema::RunningTask> {
   return impl_->table().Running();
 }
 
--- a/Source/Tasks/tasks.h
+++ b/Source/Tasks/tasks.h
@@ -1,11 +1,11 @@
 #ifndef RHUBARBHAVEN_TASKS_TASKS_H_
 #define RHUBARBHAVEN_TASKS_TASKS_H_
 
-// Who owns a cell, and that each task runs in one place. No I/O, no locks, no
-// clock, no threads.
+// Ownership of a cell, and the guarantee that each task runs in one place at a
+// time. This package does no I/O, reads no clock and uses no locks or threads.
 
 #include "Tasks/cell_fold.h"
 #include "Tasks/owner.h"
-#include "Tasks/task_keeper.h"
+#include "Tasks/task_supervisor.h"
 
 #endif  // RHUBARBHAVEN_TASKS_TASKS_H_
--- a/Source/Tasks/usage_reporter.h
+++ b/Source/Tasks/usage_reporter.h
@@ -10,37 +10,39 @@
 
 namespace rhubarbhaven::tasks {
 
-// Chooses what of a worker's usage an owner needs to be told: the latest tail
-// latency of the endpoint, once for each window, and of a task's usage only
-// what rises above what was told, since an owner only ever raises what it
-// counts. What ran beside is left out, as the owner keeps that history.
+// Selects the parts of a worker's usage that an owner needs: the latest tail
+// latency of the endpoint, once per window, and for each task only usage above
+// what was already reported, since an owner only ever raises its count.
+// Co-located tasks are omitted, as the owner keeps that history itself.
 class UsageReporter {
  public:
-  // A status came at `now`.
-  auto Note(TimePoint now, const schema::WorkerStatus& status) -> void;
-  // What is due, aged to `now`.
+  // Processes a status that was received at `now`.
+  auto OnWorkerStatus(TimePoint now, const schema::WorkerStatus& status)
+      -> void;
+  // Returns and clears the pending reports, with their ages as of `now`.
   auto Take(TimePoint now) -> std::vector<schema::UsageReport>;
-  // Another owner leases now, which was told nothing.
+  // Must be called when another owner begins to grant leases, since it has
+  // received no reports yet.
   auto Reset() -> void;
 
  private:
-  struct Told {
+  struct Reported {
     schema::Resources used;
     TimePoint at;
   };
-  struct Due {
+  struct PendingReport {
     TimePoint measured;
     schema::UsageReport report;
   };
 
-  auto NoteTask(TimePoint now,
-                TimePoint measured,
-                const schema::WorkerUsage& usage) -> void;
+  auto UpdateTask(TimePoint now,
+                  TimePoint measured,
+                  const schema::WorkerUsage& usage) -> void;
 
-  std::optional<Due> service_;
+  std::optional<PendingReport> pending_service_;
   TimePoint service_measured_ = TimePoint::min();
-  std::map<std::string, Told> told_;
-  std::map<std::string, Due> due_;
+  std::map<std::string, Reported> reported_;
+  std::map<std::string, PendingReport> pending_;
 };
 
 }  // namespace rhubarbhaven::tasks
--- a/Source/Tasks/worker_calls.cc
+++ b/Source/Tasks/worker_calls.cc
@@ -11,7 +11,7 @@
   call.call_id = next_id_++;
   call.kind = kind;
   pending_[call.call_id] = {
-      .kind = kind, .call_id = call.call_id, .key = key, .asked = now};
+      .kind = kind, .call_id = call.call_id, .key = key, .requested_at = now};
   return call;
 }
 
@@ -25,11 +25,11 @@
   return call;
 }
 
-auto WorkerCalls::TakeOverdue(TimePoint asked_before)
+auto WorkerCalls::TakeOverdue(TimePoint requested_before)
     -> std::vector<PendingCall> {
   std::vector<PendingCall> overdue;
   for (const auto& [id, call] : pending_) {
-    if (call.asked < asked_before) {
+    if (call.requested_at < requested_before) {
       overdue.push_back(call);
     }
   }
@@ -54,8 +54,9 @@
   if (clock_ms_ == 0) {
     return 0;
   }
-  // The clock was read before the reply came, so at `replied` it shows
-  // `clock_ms_` or more; adding to it gives a point that is not too late.
+  // The worker read its clock before the reply was received, so at `replied` it
+  // shows at least `clock_ms_`. A point computed from `clock_ms_` is therefore
+  // never too late.
   const auto since =
       std::chrono::floor<std::chrono::milliseconds>(point - replied_).count();
   const int64_t worker = static_cast<int64_t>(clock_ms_) + since;
--- a/Source/Tasks/worker_calls.h
+++ b/Source/Tasks/worker_calls.h
@@ -7,28 +7,29 @@
 #include <string>
 #include <vector>
 
-#include "Tasks/task_keeper.h"
+#include "Tasks/task_supervisor.h"
 
 namespace rhubarbhaven::tasks {
 
-// A call of the worker whose outcome has not come back.
+// A call to the worker whose result has not been received.
 struct PendingCall {
   CallWorker::Kind kind = CallWorker::Kind::kStatus;
   uint64_t call_id = 0;
-  // Key of the attempt; empty for status and renewal.
+  // Key of the attempt; empty for status and renewal calls.
   std::string key;
-  TimePoint asked;
+  TimePoint requested_at;
 };
 
-// Numbers the calls of the worker and says which are under way. Outcomes of
-// calls that are not known (any more) are ignored.
+// Assigns call numbers and keeps track of pending calls. Results of calls that
+// are not pending are ignored.
 class WorkerCalls {
  public:
-  // Makes a call with its number filled in.
+  // Creates a call with its number set and adds it to the pending calls.
   auto Begin(TimePoint now, CallWorker::Kind kind, const std::string& key)
       -> CallWorker;
-  // Calls begun before `asked_before`; their outcomes count as lost.
-  auto TakeOverdue(TimePoint asked_before) -> std::vector<PendingCall>;
+  // Removes and returns the calls made before `requested_before`; they are
+  // treated as lost.
+  auto TakeOverdue(TimePoint requested_before) -> std::vector<PendingCall>;
   auto Finish(uint64_t call_id) -> std::optional<PendingCall>;
   auto IsPending(CallWorker::Kind kind) const -> bool;
 
@@ -37,13 +38,13 @@
   std::map<uint64_t, PendingCall> pending_;
 };
 
-// The worker's own clock as seen from an agent: the point of the worker's
-// clock that is certainly not later than a point of the agent's.
+// Converts points in time from the agent's clock to the worker's clock. The
+// result is never later than the given point.
 class WorkerClock {
  public:
-  // A status that came back at `replied` said `clock_ms`.
+  // Records that a status received at `replied` contained `clock_ms`.
   auto OnStatus(TimePoint replied, uint64_t clock_ms) -> void;
-  // Zero if the worker does not tell its clock.
+  // Returns zero if the worker does not report its clock.
   auto ToWorkerMs(TimePoint point) const -> uint64_t;
   auto replied() const -> TimePoint { return replied_; }
 
--- a/Source/Tasks/keeper_worker.cc
+++ b/Source/Tasks/worker_driver.cc
@@ -1,4 +1,4 @@
-#include "Tasks/keeper_worker.h"
+#include "Tasks/worker_driver.h"
 
 #include <algorithm>
 
@@ -7,84 +7,85 @@
 namespace rhubarbhaven::tasks {
 namespace {
 
-// A start that is not sent within this time is given up; short, so that an
-// answer that was lost is resolved soon.
+// A start that has not been sent within this time is not sent at all. The
+// window is short so that a lost answer is resolved soon.
 constexpr std::chrono::milliseconds kStartWindow{2000};
-// Outcomes that do not come back within this time count as lost.
+// A call without a result after this time is treated as lost.
 constexpr std::chrono::milliseconds kCallTimeout{10000};
-// Readings of the worker's clock that are older are not acted on.
+// Calls that need a lease are made only while the latest reading of the
+// worker's clock is younger than this number of status intervals.
 constexpr int kClockReadingIntervals = 5;
 constexpr std::chrono::milliseconds kClockMargin{50};
 constexpr int kCheckpointTries = 3;
-// An attempt that has run for this long did not crash its instance by its
-// start.
-constexpr std::chrono::seconds kSoundAfter{10};
+// If an attempt had been running for at least this long, its start is not the
+// cause of an instance crash.
+constexpr std::chrono::seconds kStableAfter{10};
 
 }  // namespace
 
-KeeperWorker::KeeperWorker(const KeeperOptions& options,
-                           KeeperTable* table,
-                           const KeeperLease* lease)
+WorkerDriver::WorkerDriver(const SupervisorOptions& options,
+                           SupervisedAttempts* table,
+                           const SupervisorLease* lease)
     : options_(options), table_(table), lease_(lease) {}
 
-auto KeeperWorker::SetBirth(TimePoint now) -> void {
-  birth_lease_end_ = now + options_.lease_ttl;
+auto WorkerDriver::SetStartTime(TimePoint now) -> void {
+  initial_lease_end_ = now + options_.lease_ttl;
 }
 
-auto KeeperWorker::OnOutcome(TimePoint now,
-                             const WorkerOutcome& outcome,
-                             KeeperActions* actions) -> void {
+auto WorkerDriver::OnOutcome(TimePoint now,
+                             const TaskCallResult& outcome,
+                             SupervisorActions* actions) -> void {
   const auto call = calls_.Finish(outcome.call_id);
   if (!call.has_value()) {
-    actions->push_back(CountKeeper{"worker_answer_late"});
+    actions->push_back(CountSupervisorEvent{"worker_answer_late"});
     return;
   }
   if (call->kind == CallWorker::Kind::kStatus && outcome.known) {
-    OnStatus(now, call->asked, outcome.status);
+    OnStatus(now, call->requested_at, outcome.status);
     Renew(now, actions);
     return;
   }
-  KeeperTask* task = table_->Find(call->key);
+  SupervisedAttempt* task = table_->Find(call->key);
   if (task != nullptr && outcome.not_sent &&
       call->kind == CallWorker::Kind::kStart) {
-    task->calling = false;
+    task->call_pending = false;
     task->retry_at = now + options_.status_interval;
-    task->phase = KeeperTask::Phase::kAccepted;
-    actions->push_back(CountKeeper{"start_not_sent"});
+    task->phase = SupervisedAttempt::Phase::kAccepted;
+    actions->push_back(CountSupervisorEvent{"start_not_sent"});
     return;
   }
   if (!outcome.known) {
-    actions->push_back(CountKeeper{"worker_answer_lost"});
-    OnUnknown(now, *call);
+    actions->push_back(CountSupervisorEvent{"worker_answer_lost"});
+    OnReplyLost(now, *call);
     return;
   }
   OnReply(now, *call, outcome.reply, actions);
 }
 
-auto KeeperWorker::OnUnknown(TimePoint now, const PendingCall& call) -> void {
-  KeeperTask* task = table_->Find(call.key);
+auto WorkerDriver::OnReplyLost(TimePoint now, const PendingCall& call) -> void {
+  SupervisedAttempt* task = table_->Find(call.key);
   if (task == nullptr) {
     return;
   }
-  task->calling = false;
+  task->call_pending = false;
   task->retry_at = now + options_.status_interval;
-  if (task->phase == KeeperTask::Phase::kStarting) {
-    task->phase = KeeperTask::Phase::kUnresolved;
+  if (task->phase == SupervisedAttempt::Phase::kStarting) {
+    task->phase = SupervisedAttempt::Phase::kUnresolved;
   }
 }
 
-auto KeeperWorker::OnReply(TimePoint now,
+auto WorkerDriver::OnReply(TimePoint now,
                            const PendingCall& call,
                            const schema::WorkerReply& reply,
-                           KeeperActions* actions) -> void {
+                           SupervisorActions* actions) -> void {
   if (reply.expired()) {
-    actions->push_back(CountKeeper{"worker_call_expired"});
+    actions->push_back(CountSupervisorEvent{"worker_call_expired"});
   }
-  KeeperTask* task = table_->Find(call.key);
+  SupervisedAttempt* task = table_->Find(call.key);
   if (task == nullptr) {
     return;
   }
-  task->calling = false;
+  task->call_pending = false;
   switch (call.kind) {
     case CallWorker::Kind::kStart:
       OnStartReply(now, task, reply);
@@ -108,15 +109,15 @@
   }
 }
 
-auto KeeperWorker::OnStartReply(TimePoint now,
-                                KeeperTask* task,
+auto WorkerDriver::OnStartReply(TimePoint now,
+                                SupervisedAttempt* task,
                                 const schema::WorkerReply& reply) -> void {
-  if (task->phase != KeeperTask::Phase::kStarting) {
-    // A status was faster.
+  if (task->phase != SupervisedAttempt::Phase::kStarting) {
+    // A status has already resolved the start.
     return;
   }
   if (reply.expired()) {
-    task->phase = KeeperTask::Phase::kAccepted;
+    task->phase = SupervisedAttempt::Phase::kAccepted;
     task->retry_at = now + options_.status_interval;
     return;
   }
@@ -128,13 +129,13 @@
   Update(now, task, reply.task());
 }
 
-auto KeeperWorker::OnStatus(TimePoint now,
-                            TimePoint asked,
+auto WorkerDriver::OnStatus(TimePoint now,
+                            TimePoint requested_at,
                             const schema::WorkerStatus& status) -> void {
   if (status.incarnation() != incarnation_) {
     OnNewIncarnation(status.incarnation());
   }
-  status_asked_ = asked;
+  status_requested_at_ = requested_at;
   clock_.OnStatus(now, status.clock_ms());
   capacity_ = status.capacity();
   used_ = schema::Resources();
@@ -150,81 +151,84 @@
     present.insert(AttemptKey(name->task, name->attempt));
     OnWorkerTask(now, seen);
   }
-  NoteAbsent(asked, present);
-  usage_.Note(now, status);
+  EndAbsentAttempts(requested_at, present);
+  usage_.OnWorkerStatus(now, status);
 }
 
-auto KeeperWorker::MayHaveCrashed(const KeeperTask& task) const -> bool {
+auto WorkerDriver::MayHaveCausedCrash(const SupervisedAttempt& task) const
+    -> bool {
   switch (task.phase) {
-    case KeeperTask::Phase::kStarting:
-    case KeeperTask::Phase::kUnresolved:
+    case SupervisedAttempt::Phase::kStarting:
+    case SupervisedAttempt::Phase::kUnresolved:
       return true;
-    case KeeperTask::Phase::kRunning:
-      // Until the last status of the incarnation before.
-      return status_asked_ - task.running_since < kSoundAfter;
+    case SupervisedAttempt::Phase::kRunning:
+      // Runtime up to the last status of the worker's previous incarnation.
+      return status_requested_at_ - task.running_since < kStableAfter;
     default:
       return false;
   }
 }
 
-auto KeeperWorker::OnNewIncarnation(uint64_t incarnation) -> void {
+auto WorkerDriver::OnNewIncarnation(uint64_t incarnation) -> void {
   incarnation_ = incarnation;
-  // Nothing of the earlier incarnation runs. Its owner learns that from the
-  // new incarnation; but only this agent knows what had just begun, which may
-  // be what the instance crashed of.
+  // No attempt of the previous incarnation is running any more, and the owner
+  // detects that from the new incarnation. Only this agent knows which attempts
+  // had just started, however, and one of them may have caused the crash.
   for (auto& [key, task] : table_->all()) {
-    if (MayHaveCrashed(task)) {
+    if (MayHaveCausedCrash(task)) {
       End(&task, schema::CRASHED, "the instance started anew");
     }
   }
   std::erase_if(table_->all(),
-                [](const auto& task) { return !task.second.over(); });
+                [](const auto& task) { return !task.second.is_final(); });
   for (auto& [key, task] : table_->all()) {
-    task.calling = false;
+    task.call_pending = false;
   }
 }
 
-auto KeeperWorker::OnWorkerTask(TimePoint now, const schema::WorkerTask& seen)
+auto WorkerDriver::OnWorkerTask(TimePoint now, const schema::WorkerTask& seen)
     -> void {
   const auto name = ParseWorkerTaskName(seen.name());
   const std::string key = AttemptKey(name->task, name->attempt);
-  KeeperTask* task = table_->Find(key);
+  SupervisedAttempt* task = table_->Find(key);
   if (task == nullptr) {
     if (table_->IsForgotten(now, key)) {
       return;
     }
-    // Started by an earlier incarnation of this agent.
+    // The attempt was started by an earlier incarnation of this agent.
     task = &table_->Add(*name);
-    task->phase = KeeperTask::Phase::kUnresolved;
-    task->start_not_after = birth_lease_end_;
+    task->phase = SupervisedAttempt::Phase::kUnresolved;
+    task->start_not_after = initial_lease_end_;
     task->want_throttled = seen.state() == schema::WORKER_TASK_THROTTLED;
   }
   Update(now, task, seen);
 }
 
-auto KeeperWorker::NoteAbsent(TimePoint asked,
-                              const std::set<std::string>& present) -> void {
+auto WorkerDriver::EndAbsentAttempts(TimePoint requested_at,
+                                     const std::set<std::string>& present)
+    -> void {
   for (auto& [key, task] : table_->all()) {
-    // What goes wrong: a status that was asked before the start took effect
-    // comes after the start's answer, and the running task is taken for gone.
-    if (task.phase == KeeperTask::Phase::kRunning && !present.contains(key) &&
-        asked > task.running_since) {
+    // A status requested before the start took effect can arrive after the
+    // answer to the start. Without this comparison, the running task would be
+    // declared lost.
+    if (task.phase == SupervisedAttempt::Phase::kRunning &&
+        !present.contains(key) && requested_at > task.running_since) {
       End(&task, schema::LOST, "the worker does not know the task any more");
     }
   }
 }
 
-auto KeeperWorker::TakeChanged() -> std::set<std::string> {
+auto WorkerDriver::TakeChanged() -> std::set<std::string> {
   return std::exchange(changed_, {});
 }
 
-auto KeeperWorker::Update(TimePoint now,
-                          KeeperTask* task,
+auto WorkerDriver::Update(TimePoint now,
+                          SupervisedAttempt* task,
                           const schema::WorkerTask& seen) -> void {
-  if (task->phase == KeeperTask::Phase::kEnded) {
+  if (task->phase == SupervisedAttempt::Phase::kEnded) {
     return;
   }
-  task->seen = Larger(task->seen, seen.used());
+  task->observed_usage = Larger(task->observed_usage, seen.used());
   task->progress_permille = seen.progress_permille();
   if (!seen.checkpoint().empty()) {
     task->checkpoint = seen.checkpoint();
@@ -233,9 +237,9 @@
     case schema::WORKER_TASK_RUNNING:
     case schema::WORKER_TASK_THROTTLED:
       task->throttled = seen.state() == schema::WORKER_TASK_THROTTLED;
-      if (task->phase != KeeperTask::Phase::kRunning) {
+      if (task->phase != SupervisedAttempt::Phase::kRunning) {
         task->running_since = now;
-        SetPhase(task, KeeperTask::Phase::kRunning);
+        SetPhase(task, SupervisedAttempt::Phase::kRunning);
       }
       return;
     case schema::WORKER_TASK_FINISHED:
@@ -245,9 +249,9 @@
       End(task, schema::FAILED, seen.detail());
       return;
     case schema::WORKER_TASK_STOPPED:
-      if (task->stop == KeeperTask::Stop::kNone) {
+      if (task->stop == SupervisedAttempt::Stop::kNone) {
         End(task, schema::LOST, "stopped by the worker: " + seen.detail());
-      } else if (task->stop == KeeperTask::Stop::kStop) {
+      } else if (task->stop == SupervisedAttempt::Stop::kStop) {
         End(task, schema::CANCELLED, seen.detail());
       } else {
         End(task, schema::EVICTED, seen.detail());
@@ -258,24 +262,25 @@
   }
 }
 
-auto KeeperWorker::SetPhase(KeeperTask* task, KeeperTask::Phase phase) -> void {
+auto WorkerDriver::SetPhase(SupervisedAttempt* task,
+                            SupervisedAttempt::Phase phase) -> void {
   task->phase = phase;
   changed_.insert(task->key);
 }
 
-auto KeeperWorker::End(KeeperTask* task,
+auto WorkerDriver::End(SupervisedAttempt* task,
                        schema::TaskOutcome outcome,
                        const std::string& detail) -> void {
   task->outcome = outcome;
   task->detail = detail;
-  task->calling = false;
-  SetPhase(task, KeeperTask::Phase::kEnded);
+  task->call_pending = false;
+  SetPhase(task, SupervisedAttempt::Phase::kEnded);
 }
 
-auto KeeperWorker::Step(TimePoint now, KeeperActions* actions) -> void {
+auto WorkerDriver::Step(TimePoint now, SupervisorActions* actions) -> void {
   for (const PendingCall& call : calls_.TakeOverdue(now - kCallTimeout)) {
-    actions->push_back(CountKeeper{"worker_answer_lost"});
-    OnUnknown(now, call);
+    actions->push_back(CountSupervisorEvent{"worker_answer_lost"});
+    OnReplyLost(now, call);
   }
   std::vector<std::string> keys;
   for (const auto& [key, task] : table_->all()) {
@@ -287,38 +292,38 @@
   PollStatus(now, actions);
 }
 
-auto KeeperWorker::StepTask(TimePoint now,
-                            KeeperTask* task,
-                            KeeperActions* actions) -> void {
-  if (task->calling || now < task->retry_at) {
+auto WorkerDriver::StepTask(TimePoint now,
+                            SupervisedAttempt* task,
+                            SupervisorActions* actions) -> void {
+  if (task->call_pending || now < task->retry_at) {
     return;
   }
-  const bool unwanted =
-      task->stop != KeeperTask::Stop::kNone || !task->refuse_why.empty();
+  const bool unwanted = task->stop != SupervisedAttempt::Stop::kNone ||
+                        !task->reject_reason.empty();
   switch (task->phase) {
-    case KeeperTask::Phase::kAccepted:
+    case SupervisedAttempt::Phase::kAccepted:
       if (unwanted) {
-        task->phase = KeeperTask::Phase::kUnresolved;
+        task->phase = SupervisedAttempt::Phase::kUnresolved;
         StepUnresolved(task);
       } else if (MayAct(now)) {
         Start(now, task, actions);
       }
       return;
-    case KeeperTask::Phase::kUnresolved:
+    case SupervisedAttempt::Phase::kUnresolved:
       StepUnresolved(task);
       return;
-    case KeeperTask::Phase::kRunning:
+    case SupervisedAttempt::Phase::kRunning:
       StepRunning(now, task, actions);
       return;
-    case KeeperTask::Phase::kEnded:
-      // What goes wrong: a start whose answer was lost may still be under way
-      // when the task has ended; a worker that forgot the attempt would run it
-      // again. So the worker forgets only when no start can arrive any more.
+    case SupervisedAttempt::Phase::kEnded:
+      // A start whose answer was lost may still be in transit when the task has
+      // ended. If the worker had already forgotten the attempt, it would run it
+      // again, so it is told to forget only when no start can arrive any more.
       if (task->recorded && now > task->start_not_after + kClockMargin) {
         Command(now, task, CallWorker::Kind::kForget, actions);
       }
       return;
-    case KeeperTask::Phase::kRefused:
+    case SupervisedAttempt::Phase::kRejected:
       if (task->recorded) {
         const std::string key = task->key;
         table_->Forget(key, now + options_.lease_ttl);
@@ -329,35 +334,37 @@
   }
 }
 
-auto KeeperWorker::StepUnresolved(KeeperTask* task) -> void {
-  // A status that was asked for after the last start became void, and does
-  // not list the attempt, proves that it never started.
-  if (status_asked_ <= task->start_not_after + kClockMargin) {
+auto WorkerDriver::StepUnresolved(SupervisedAttempt* task) -> void {
+  // A status that was requested after the last start had expired, and that does
+  // not list the attempt, proves that the attempt never started.
+  if (status_requested_at_ <= task->start_not_after + kClockMargin) {
     return;
   }
-  if (task->stop == KeeperTask::Stop::kNone && task->refuse_why.empty()) {
-    task->phase = KeeperTask::Phase::kAccepted;
+  if (task->stop == SupervisedAttempt::Stop::kNone &&
+      task->reject_reason.empty()) {
+    task->phase = SupervisedAttempt::Phase::kAccepted;
     return;
   }
-  if (task->refuse_why.empty()) {
-    task->refuse_why = "stopped before its start";
+  if (task->reject_reason.empty()) {
+    task->reject_reason = "stopped before its start";
   }
-  SetPhase(task, KeeperTask::Phase::kRefused);
+  SetPhase(task, SupervisedAttempt::Phase::kRejected);
 }
 
-auto KeeperWorker::StepRunning(TimePoint now,
-                               KeeperTask* task,
-                               KeeperActions* actions) -> void {
-  if (!task->refuse_why.empty() && task->stop == KeeperTask::Stop::kNone) {
-    task->stop = KeeperTask::Stop::kStop;
-  }
-  if (task->stop == KeeperTask::Stop::kCheckpointAndStop &&
+auto WorkerDriver::StepRunning(TimePoint now,
+                               SupervisedAttempt* task,
+                               SupervisorActions* actions) -> void {
+  if (!task->reject_reason.empty() &&
+      task->stop == SupervisedAttempt::Stop::kNone) {
+    task->stop = SupervisedAttempt::Stop::kStop;
+  }
+  if (task->stop == SupervisedAttempt::Stop::kCheckpointAndStop &&
       !task->checkpointed && task->checkpoint_calls < kCheckpointTries) {
     ++task->checkpoint_calls;
     Command(now, task, CallWorker::Kind::kCheckpoint, actions);
     return;
   }
-  if (task->stop != KeeperTask::Stop::kNone) {
+  if (task->stop != SupervisedAttempt::Stop::kNone) {
     Command(now, task, CallWorker::Kind::kStop, actions);
     return;
   }
@@ -369,12 +376,12 @@
   }
 }
 
-auto KeeperWorker::Start(TimePoint now,
-                         KeeperTask* task,
-                         KeeperActions* actions) -> void {
+auto WorkerDriver::Start(TimePoint now,
+                         SupervisedAttempt* task,
+                         SupervisorActions* actions) -> void {
   CallWorker call = calls_.Begin(now, CallWorker::Kind::kStart, task->key);
   call.not_after = std::min(lease_->end(), now + kStartWindow);
-  call.start.set_name(task->text);
+  call.start.set_name(task->worker_name);
   call.start.set_attempt(task->name.attempt);
   *call.start.mutable_need() = task->name.admitted;
   call.start.set_command(task->command);
@@ -383,23 +390,23 @@
   call.start.set_incarnation(incarnation_);
   call.start.set_not_after_ms(clock_.ToWorkerMs(call.not_after));
   task->start_not_after = std::max(task->start_not_after, call.not_after);
-  task->phase = KeeperTask::Phase::kStarting;
-  task->calling = true;
+  task->phase = SupervisedAttempt::Phase::kStarting;
+  task->call_pending = true;
   actions->push_back(std::move(call));
 }
 
-auto KeeperWorker::Command(TimePoint now,
-                           KeeperTask* task,
+auto WorkerDriver::Command(TimePoint now,
+                           SupervisedAttempt* task,
                            CallWorker::Kind kind,
-                           KeeperActions* actions) -> void {
+                           SupervisorActions* actions) -> void {
   CallWorker call = calls_.Begin(now, kind, task->key);
-  call.command.set_name(task->text);
+  call.command.set_name(task->worker_name);
   call.command.set_attempt(task->name.attempt);
-  task->calling = true;
+  task->call_pending = true;
   actions->push_back(std::move(call));
 }
 
-auto KeeperWorker::Renew(TimePoint now, KeeperActions* actions) -> void {
+auto WorkerDriver::Renew(TimePoint now, SupervisorActions* actions) -> void {
   if (!MayAct(now) || calls_.IsPending(CallWorker::Kind::kRenew)) {
     return;
   }
@@ -409,8 +416,8 @@
   call.renew.set_incarnation(incarnation_);
   call.renew.set_not_after_ms(clock_.ToWorkerMs(call.not_after));
   for (const auto& [key, task] : table_->all()) {
-    if (task.phase == KeeperTask::Phase::kRunning) {
-      call.renew.add_names(task.text);
+    if (task.phase == SupervisedAttempt::Phase::kRunning) {
+      call.renew.add_names(task.worker_name);
     }
   }
   if (call.renew.names().empty()) {
@@ -420,7 +427,8 @@
   actions->push_back(std::move(call));
 }
 
-auto KeeperWorker::PollStatus(TimePoint now, KeeperActions* actions) -> void {
+auto WorkerDriver::PollStatus(TimePoint now, SupervisorActions* actions)
+    -> void {
   if (now < next_status_) {
     return;
   }
@@ -431,7 +439,7 @@
   actions->push_back(calls_.Begin(now, CallWorker::Kind::kStatus, ""));
 }
 
-auto KeeperWorker::MayAct(TimePoint now) const -> bool {
+auto WorkerDriver::MayAct(TimePoint now) const -> bool {
   return incarnation_ != 0 && lease_->leased(now) &&
          now < clock_.replied() +
                    kClockReadingIntervals * options_.status_interval;
--- a/Source/Tasks/worker_task_name.h
+++ b/Source/Tasks/worker_task_name.h
@@ -9,8 +9,9 @@
 
 namespace rhubarbhaven::tasks {
 
-// One attempt as it is named to the worker. The name holds everything that an
-// agent must know again after its own restart, since only the worker kept it.
+// One attempt as it is named in calls to the worker. The name contains
+// everything that an agent must recover after a restart, since only the worker
+// keeps it.
 struct WorkerTaskName {
   schema::TaskId task;
   uint32_t attempt = 0;
@@ -20,11 +21,11 @@
 // "version.index.attempt.millicores.memory_mb.accelerators.length.partner/job"
 // where `length` is the length of the partner's name.
 auto FormatWorkerTaskName(const WorkerTaskName& name) -> std::string;
-// Nothing if the text was not made by `FormatWorkerTaskName`.
+// Returns nothing if the text was not produced by `FormatWorkerTaskName`.
 auto ParseWorkerTaskName(const std::string& text)
     -> std::optional<WorkerTaskName>;
 
-// Names one attempt of one task, whatever was admitted for it.
+// Identifies one attempt of one task, independent of the admitted resources.
 auto AttemptKey(const schema::TaskId& task, uint32_t attempt) -> std::string;
 
 }  // namespace rhubarbhaven::tasks
--- a/Tests/Benchmarks/Tasks/bench_owner.cc
+++ b/Tests/Benchmarks/Tasks/bench_owner.cc
@@ -1,7 +1,8 @@
-// Bytes, messages, processor time and memory of an owner and its agents at
-// growing sizes, in virtual time: the decisions are real, the network, the log
-// and the workers are not. Byte and message counts repeat exactly and are
-// bounded; times depend on the machine and are printed only.
+// Measures bytes, messages, processor time and memory of an owner and its
+// agents at increasing sizes, in virtual time. The owner and the supervisors
+// are real; the network, the log and the workers are simulated. Byte and
+// message counts are deterministic and have an upper bound; times depend on the
+// machine and are only printed.
 
 #include <malloc.h>
 
@@ -22,7 +23,7 @@
 
 constexpr milliseconds kStep{100};
 constexpr uint32_t kTaskMillicores = 250;
-// What the letter allows one node for control.
+// Required upper bound on the control traffic of one node, in bytes per second.
 constexpr double kMaxBytesPerAgent = 5000;
 
 auto CpuSeconds() -> double {
@@ -55,7 +56,7 @@
       AddInstance(i);
     }
     AddJob(tasks, command);
-    Carry(owner_.OnConfig(now_, config_));
+    Execute(owner_.OnConfig(now_, config_));
   }
 
   auto RunFor(seconds time) -> void {
@@ -96,11 +97,12 @@
       finished_ += event == "finish" ? 1 : 0;
     };
     workers_.push_back(std::make_unique<WorkerModel>(worker));
-    KeeperOptions keeper;
-    keeper.agent_id = "agent-" + std::to_string(index);
-    keeper.agent_incarnation = 2000 + static_cast<uint64_t>(index);
-    keeper.instance = instance->name();
-    keepers_.push_back(std::make_unique<TaskKeeper>(keeper));
+    SupervisorOptions supervisor_options;
+    supervisor_options.agent_id = "agent-" + std::to_string(index);
+    supervisor_options.agent_incarnation = 2000 + static_cast<uint64_t>(index);
+    supervisor_options.instance = instance->name();
+    supervisors_.push_back(
+        std::make_unique<TaskSupervisor>(supervisor_options));
   }
 
   auto AddJob(uint32_t tasks, const std::string& command) -> void {
@@ -118,26 +120,28 @@
   }
 
   template <typename F>
-  static auto Timed(double* total, const F& act) -> decltype(act()) {
+  static auto AddCpuTime(double* total, const F& operation)
+      -> decltype(operation()) {
     const double before = CpuSeconds();
-    auto result = act();
+    auto result = operation();
     *total += CpuSeconds() - before;
     return result;
   }
 
   auto Step() -> void {
     AppendRecord();
-    Carry(Timed(&usage_.owner_cpu,
-                [&]() { return owner_.OnCaughtUp(now_, now_); }));
-    Carry(Timed(&usage_.owner_cpu, [&]() { return owner_.OnTick(now_); }));
-    for (std::size_t i = 0; i < keepers_.size(); ++i) {
-      Carry(i, Timed(&usage_.agents_cpu,
-                     [&]() { return keepers_[i]->OnTick(now_); }));
+    Execute(AddCpuTime(&usage_.owner_cpu,
+                       [&]() { return owner_.OnCaughtUp(now_, now_); }));
+    Execute(
+        AddCpuTime(&usage_.owner_cpu, [&]() { return owner_.OnTick(now_); }));
+    for (std::size_t i = 0; i < supervisors_.size(); ++i) {
+      Execute(i, AddCpuTime(&usage_.agents_cpu,
+                            [&]() { return supervisors_[i]->OnTick(now_); }));
     }
     Deliver();
   }
 
-  // What was appended in a step is one record.
+  // Appends all entries of a step as one record.
   auto AppendRecord() -> void {
     if (entries_.empty()) {
       return;
@@ -152,29 +156,31 @@
     entries_.clear();
     ++usage_.records;
     usage_.log_bytes += record.ByteSizeLong();
-    Carry(Timed(&usage_.owner_cpu,
-                [&]() { return owner_.OnRecord(now_, offset_, record); }));
+    Execute(AddCpuTime(&usage_.owner_cpu, [&]() {
+      return owner_.OnRecord(now_, offset_, record);
+    }));
   }
 
-  auto Carry(const OwnerActions& actions) -> void {
+  auto Execute(const OwnerActions& actions) -> void {
     for (const OwnerAction& action : actions) {
-      if (const auto* append = std::get_if<AppendCell>(&action)) {
+      if (const auto* append = std::get_if<AppendToCell>(&action)) {
         entries_.push_back(append->entry);
-      } else if (const auto* order = std::get_if<OrderAgent>(&action)) {
+      } else if (const auto* order = std::get_if<SendToSupervisor>(&action)) {
         usage_.bytes_down += order->message.ByteSizeLong();
         ++usage_.messages;
         const std::size_t agent = std::stoul(order->agent.substr(6));
         queue_.push_back([this, agent, message = order->message]() -> void {
-          Carry(agent, Timed(&usage_.agents_cpu, [&]() {
-                  return keepers_[agent]->OnMessage(now_, "entry-0", message);
-                }));
+          Execute(agent, AddCpuTime(&usage_.agents_cpu, [&]() {
+                    return supervisors_[agent]->OnMessage(now_, "entry-0",
+                                                          message);
+                  }));
         });
       }
     }
   }
 
-  auto Carry(std::size_t agent, const KeeperActions& actions) -> void {
-    for (const KeeperAction& action : actions) {
+  auto Execute(std::size_t agent, const SupervisorActions& actions) -> void {
+    for (const SupervisorAction& action : actions) {
       if (const auto* call = std::get_if<CallWorker>(&action)) {
         queue_.push_back(
             [this, agent, call = *call]() -> void { Call(agent, call); });
@@ -183,8 +189,9 @@
         ++usage_.messages;
         queue_.push_back([this, agent, message = send->message]() -> void {
           const std::string name = "agent-" + std::to_string(agent);
-          Carry(Timed(&usage_.owner_cpu,
-                      [&]() { return owner_.OnMessage(now_, name, message); }));
+          Execute(AddCpuTime(&usage_.owner_cpu, [&]() {
+            return owner_.OnMessage(now_, name, message);
+          }));
         });
       }
     }
@@ -192,7 +199,7 @@
 
   auto Call(std::size_t agent, const CallWorker& call) -> void {
     WorkerModel& worker = *workers_[agent];
-    WorkerOutcome outcome;
+    TaskCallResult outcome;
     outcome.call_id = call.call_id;
     outcome.known = true;
     switch (call.kind) {
@@ -209,9 +216,9 @@
         outcome.reply = worker.Command(now_, "forget", call.command);
         break;
     }
-    Carry(agent, Timed(&usage_.agents_cpu, [&]() {
-            return keepers_[agent]->OnWorkerReply(now_, outcome);
-          }));
+    Execute(agent, AddCpuTime(&usage_.agents_cpu, [&]() {
+              return supervisors_[agent]->OnWorkerReply(now_, outcome);
+            }));
   }
 
   auto Deliver() -> void {
@@ -226,7 +233,7 @@
   std::vector<schema::VersionedObject> config_;
   Owner owner_;
   std::vector<std::unique_ptr<WorkerModel>> workers_;
-  std::vector<std::unique_ptr<TaskKeeper>> keepers_;
+  std::vector<std::unique_ptr<TaskSupervisor>> supervisors_;
   std::deque<std::function<auto()->void>> queue_;
   std::vector<schema::LogEntry> entries_;
   uint64_t offset_ = 0;
@@ -235,8 +242,8 @@
   Usage usage_;
 };
 
-// Long-running tasks: what leases, renewals and reports cost.
-auto Steady(int instances, uint32_t per_instance) -> bool {
+// Measures the cost of leases, renewals and reports with long-running tasks.
+auto MeasureSteadyState(int instances, uint32_t per_instance) -> bool {
   Cell cell(instances, static_cast<uint32_t>(instances) * per_instance,
             "run 100000000");
   cell.RunFor(seconds(30));
@@ -247,7 +254,7 @@
   const double agents = instances;
   const double up = static_cast<double>(usage.bytes_up) / agents / kSeconds;
   const double down = static_cast<double>(usage.bytes_down) / agents / kSeconds;
-  const bool kept =
+  const bool within_bound =
       up + down <= kMaxBytesPerAgent &&
       cell.started() == static_cast<uint64_t>(instances) * per_instance;
   std::printf(
@@ -259,12 +266,13 @@
       100 * usage.agents_cpu / agents / kSeconds,
       100 * usage.owner_cpu / kSeconds,
       static_cast<double>(usage.records) / kSeconds,
-      kept ? "" : " BOUND MISSED");
-  return kept;
+      within_bound ? "" : " BOUND MISSED");
+  return within_bound;
 }
 
-// Short tasks: what starts and ends cost, and how many one owner can do.
-auto Churn(int instances, uint32_t tasks) -> void {
+// Measures the cost of starts and ends with short tasks, and how many of them
+// one owner can process.
+auto MeasureChurn(int instances, uint32_t tasks) -> void {
   Cell cell(instances, tasks, "run 2000");
   cell.RunFor(seconds(8));
   const uint64_t before = cell.finished();
@@ -283,8 +291,8 @@
       static_cast<double>(usage.log_bytes) / done);
 }
 
-// Bytes of the fold for a task that is placed, and for one that has finished.
-auto Memory() -> void {
+// Measures the bytes in the fold for a placed task and for a finished one.
+auto MeasureMemory() -> void {
   constexpr uint32_t kTasks = 50000;
   for (const bool finished : {false, true}) {
     const double before = HeapBytes();
@@ -324,16 +332,17 @@
 }  // namespace rhubarbhaven
 
 auto main() -> int {
-  using rhubarbhaven::Churn;
-  bool kept = true;
+  using rhubarbhaven::MeasureChurn;
+  bool within_bound = true;
   for (const int instances : {11, 50, 250}) {
     for (const uint32_t tasks : {0U, 8U, 25U}) {
-      kept = rhubarbhaven::Steady(instances, tasks) && kept;
+      within_bound =
+          rhubarbhaven::MeasureSteadyState(instances, tasks) && within_bound;
     }
   }
-  Churn(11, 8000);
-  Churn(50, 30000);
-  Churn(250, 60000);
-  rhubarbhaven::Memory();
-  return kept ? 0 : 1;
+  MeasureChurn(11, 8000);
+  MeasureChurn(50, 30000);
+  MeasureChurn(250, 60000);
+  rhubarbhaven::MeasureMemory();
+  return within_bound ? 0 : 1;
 }
--- a/Tests/Tasks/cell_fold_test.cc
+++ b/Tests/Tasks/cell_fold_test.cc
@@ -53,20 +53,20 @@
 
 struct FoldCase {
   const char* name;
-  // One record each, at offsets 1, 2, ...
+  // Each entry is one record, at offsets 1, 2, ...
   std::vector<schema::LogEntry> entries;
-  // For each, whether it takes effect: 'y' or 'n'.
-  std::string taken;
+  // For each entry, whether it takes effect: 'y' or 'n'.
+  std::string outcomes;
   uint64_t fence;
   std::string owner;
 };
 
-class CellFoldTable : public testing::TestWithParam<FoldCase> {};
+class CellFoldTest : public testing::TestWithParam<FoldCase> {};
 
-TEST_P(CellFoldTable, TakesEffect) {
+TEST_P(CellFoldTest, TakesEffect) {
   const FoldCase& param = GetParam();
   CellFold fold(kCell);
-  std::string taken;
+  std::string outcomes;
   uint64_t offset = 0;
   for (const schema::LogEntry& entry : param.entries) {
     schema::LogRecord record;
@@ -74,16 +74,17 @@
     record.set_sequence(++offset);
     *record.add_entries() = entry;
     for (const CellEffect& effect : fold.Apply(offset, record)) {
-      taken += effect.accepted ? 'y' : 'n';
+      outcomes += effect.accepted ? 'y' : 'n';
       EXPECT_EQ(effect.accepted, effect.why.empty());
     }
-    // The same offset, and the same record at another one, change nothing.
+    // Applying the same offset again has no effect.
     EXPECT_TRUE(fold.Apply(offset, record).empty());
   }
-  EXPECT_EQ(taken, param.taken);
+  EXPECT_EQ(outcomes, param.outcomes);
   EXPECT_EQ(fold.fence(), param.fence);
   EXPECT_EQ(fold.owner(), param.owner);
-  // A snapshot of the state gives the same state, and an older one nothing.
+  // A snapshot restores the same state; adopting one that is not newer has no
+  // effect.
   CellFold copy(kCell);
   EXPECT_TRUE(copy.Adopt(fold.Export()));
   EXPECT_EQ(copy.Export().SerializeAsString(),
@@ -93,7 +94,7 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Cases,
-    CellFoldTable,
+    CellFoldTest,
     testing::Values(
         FoldCase{"FirstClaimWins",
                  {Claim("a", 0), Claim("b", 0)},
@@ -105,7 +106,7 @@
                  "yy",
                  2,
                  "b"},
-        // A claim that was decided before it saw the renewal is void.
+        // A claim made before its process read the renewal has no effect.
         FoldCase{"RenewalBeatsOlderClaim",
                  {Claim("a", 0), Renew("a", 1), Claim("b", 1)},
                  "yyn",
@@ -164,16 +165,16 @@
             "b"}),
     [](const auto& param) { return param.param.name; });
 
-// Symptom: an owner that took a released cell takes an earlier owner, which
-// is cut off from the log and renews leases for a day, for ended.
-// Sequence: a is replaced by b by silence, b releases, c claims.
-// Cause: the release of b says nothing of a unless b vouched for it.
-TEST(CellFold, ReleaseSettlesOnlyIfVouched) {
-  for (const bool vouched : {false, true}) {
+// Guards against treating an earlier owner as ended while it is cut off from
+// the log and may renew leases for a day. Owner a is replaced by b after a
+// timeout, b releases the cell and c claims it. The release by b shows that a
+// has ended only if it is marked as settled.
+TEST(CellFold, ReleaseSettlesOnlyIfMarkedSettled) {
+  for (const bool marked_settled : {false, true}) {
     CellFold fold(kCell);
     uint64_t offset = 0;
     for (const schema::LogEntry& entry :
-         {Claim("a", 0), Claim("b", 1), Release("b", 2, vouched),
+         {Claim("a", 0), Claim("b", 1), Release("b", 2, marked_settled),
           Claim("c", 0)}) {
       schema::LogRecord record;
       record.set_sequence(++offset);
@@ -181,14 +182,13 @@
       fold.Apply(offset, record);
     }
     EXPECT_EQ(fold.owner(), "c");
-    EXPECT_EQ(fold.unsettled(), !vouched);
+    EXPECT_EQ(fold.unsettled(), !marked_settled);
   }
 }
 
-// Symptom: a process that gave the cell free owns it again.
-// Sequence: a claim's answer is lost and the claim is appended twice, the
-// second time after its owner's release.
-// Cause: the cell is free then, as the claim says.
+// Guards against a process regaining a cell that it has released. The answer to
+// its claim is lost and the claim is appended a second time, after the release.
+// The cell has no owner then, as the claim requires.
 TEST(CellFold, RepeatedRecordTakesNoEffect) {
   CellFold fold(kCell);
   const std::vector<schema::LogEntry> entries = {
--- a/Tests/Tasks/explorer_test.cc
+++ b/Tests/Tasks/explorer_test.cc
@@ -11,7 +11,9 @@
 constexpr uint32_t kLongTasks = 3;
 constexpr milliseconds kRunLimit{400000};
 
-auto Configure(TaskWorld* world, int instances, const char* command) -> void {
+auto Configure(SimulatedTaskCluster* cluster,
+               int instances,
+               const char* command) -> void {
   std::vector<schema::VersionedObject> objects;
   objects.reserve(static_cast<std::size_t>(instances) + 2);
   for (int i = 0; i < instances; ++i) {
@@ -19,35 +21,36 @@
   }
   objects.push_back(MakeJob("long", kLongTasks, command, kLongVersion));
   objects.push_back(MakeJob("bad", 1, "fail", kBadVersion));
-  world->SetConfig(objects);
+  cluster->SetConfig(objects);
 }
 
-// Every task of "long" has finished, "bad" was given up after its attempts.
-auto AllDone(TaskWorld* world) -> bool {
+// True if every task of "long" has finished and "bad" has failed after its
+// maximum number of attempts.
+auto AllDone(SimulatedTaskCluster* cluster) -> bool {
   for (uint32_t i = 0; i < kLongTasks; ++i) {
-    const auto known =
-        world->log().tasks().find(TaskName(MakeTask("long", i, kLongVersion)));
-    if (known == world->log().tasks().end() ||
+    const auto known = cluster->log().tasks().find(
+        TaskName(MakeTask("long", i, kLongVersion)));
+    if (known == cluster->log().tasks().end() ||
         known->second.last_outcome() != schema::FINISHED) {
       return false;
     }
   }
   const auto bad =
-      world->log().tasks().find(TaskName(MakeTask("bad", 0, kBadVersion)));
-  return bad != world->log().tasks().end() && bad->second.failures() == 2 &&
+      cluster->log().tasks().find(TaskName(MakeTask("bad", 0, kBadVersion)));
+  return bad != cluster->log().tasks().end() && bad->second.failures() == 2 &&
          !bad->second.placed();
 }
 
-auto RunWorld(const WorldOptions& options) -> void {
-  TaskWorld world(options);
-  Configure(&world, options.instances, "run 9000");
-  world.RunFor(seconds(8));
-  world.Evict(MakeTask("long", 0, kLongVersion));
+auto RunSimulation(const SimulationOptions& options) -> void {
+  SimulatedTaskCluster cluster(options);
+  Configure(&cluster, options.instances, "run 9000");
+  cluster.RunFor(seconds(8));
+  cluster.Evict(MakeTask("long", 0, kLongVersion));
   const bool done =
-      world.RunUntil(kRunLimit, [&]() -> bool { return AllDone(&world); });
-  ASSERT_EQ(world.broken(), "") << "seed " << options.seed;
+      cluster.RunUntil(kRunLimit, [&]() -> bool { return AllDone(&cluster); });
+  ASSERT_EQ(cluster.violation(), "") << "seed " << options.seed;
   ASSERT_TRUE(done) << "not all tasks ended, seed " << options.seed << "\n"
-                    << world.Describe();
+                    << cluster.Describe();
 }
 
 struct StepCase {
@@ -57,19 +60,20 @@
 
 class FaultPairs : public testing::TestWithParam<StepCase> {};
 
-// Symptom: a task runs twice, never again, or over the capacity.
-// Sequence: two of worker, agent and owner are killed, frozen or cut off, the
-// second at once or while the first is still away, at a step of a task's life.
-// Cause: an act that rests on what the process knew before it was away.
-TEST_P(FaultPairs, OnePlaceAndOnce) {
+// Guards against a task that runs twice, is never run again or exceeds the
+// capacity. Two of worker, agent and owner are killed, frozen or disconnected
+// at a step in a task's lifetime, the second at the same time or while the
+// first is still unavailable. The fault is an action based on state from before
+// the outage.
+TEST_P(FaultPairs, RunsOnceInOnePlace) {
   const Target targets[] = {Target::kWorker, Target::kAgent, Target::kOwner};
   const FaultKind kinds[] = {FaultKind::kKill, FaultKind::kFreeze,
-                             FaultKind::kCut};
-  const milliseconds downs[] = {milliseconds(1500), milliseconds(9000),
-                                milliseconds(25000)};
+                             FaultKind::kDisconnect};
+  const milliseconds downtimes[] = {milliseconds(1500), milliseconds(9000),
+                                    milliseconds(25000)};
   uint32_t seed = 1;
-  // Every pair of (target, kind, time away), at one of the first occurrences
-  // of the step.
+  // Every pair of (target, kind, downtime), at one of the first occurrences of
+  // the step.
   constexpr int kFaults = 27;
   constexpr int kOccurrences = 3;
   for (int pair = 0; pair < kFaults * kFaults; ++pair) {
@@ -78,18 +82,19 @@
     const int nth = 1 + pair % kOccurrences;
     const auto fault = [&](int index, int at) -> Fault {
       return {GetParam().step, at, targets[index % 3], kinds[index / 3 % 3],
-              downs[index / 9]};
+              downtimes[index / 9]};
     };
-    WorldOptions options;
+    SimulationOptions options;
     options.seed = seed++;
     options.lose = 10;
     options.repeat = 10;
     options.delay = 10;
     options.hold = 10;
     options.owner.unverified_limit = seconds(15);
-    // The second strikes at the same moment, or at the step's next occurrence.
+    // The second fault occurs at the same time or at the next occurrence of the
+    // step.
     options.faults = {fault(first, nth), fault(second, nth + pair % 2)};
-    RunWorld(options);
+    RunSimulation(options);
     ASSERT_FALSE(HasFatalFailure()) << "pair " << pair;
   }
 }
@@ -106,14 +111,14 @@
                     StepCase{"End", Step::kEnd}),
     [](const auto& param) { return param.param.name; });
 
-// Symptom: as above.
-// Sequence: processes die, freeze and wake and links and log go and come in a
-// seeded random order, with messages and answers lost, late and repeated.
-// Cause: orders of events that nobody thought of.
+// Guards against the same failures under event orders that the table above does
+// not cover. Processes are killed, frozen and restarted and links and the log
+// fail and recover in a seeded random order, with messages and answers lost,
+// delayed and duplicated.
 TEST(Explorer, RandomFaults) {
   constexpr uint32_t kSeeds = 300;
   for (uint32_t seed = 1; seed <= kSeeds; ++seed) {
-    WorldOptions options;
+    SimulationOptions options;
     options.seed = seed;
     options.entries = 3;
     options.instances = 3;
@@ -122,8 +127,8 @@
     options.delay = 30;
     options.hold = 50;
     options.owner.unverified_limit = seconds(15);
-    TaskWorld world(options);
-    Configure(&world, options.instances, "run 50000");
+    SimulatedTaskCluster cluster(options);
+    Configure(&cluster, options.instances, "run 50000");
     std::mt19937 random(seed);
     for (int round = 0; round < 20; ++round) {
       const auto target = static_cast<Target>(random() % 3);
@@ -131,40 +136,41 @@
       const milliseconds time(random() % 20000);
       switch (random() % 6) {
         case 0:
-          world.Kill(target, index);
+          cluster.Kill(target, index);
           break;
         case 1:
-          world.Freeze(target, index, time);
+          cluster.Freeze(target, index, time);
           break;
         case 2:
-          world.CutFromLog(index, true);
+          cluster.SetLogDisconnected(index, true);
           break;
         case 3:
-          world.CutLink(index, static_cast<int>(random() % 3), true);
+          cluster.SetLinkDisconnected(index, static_cast<int>(random() % 3),
+                                      true);
           break;
         case 4:
-          world.set_log_down(true);
+          cluster.set_log_down(true);
           break;
         default:
-          world.Evict(MakeTask("long", index, kLongVersion));
+          cluster.Evict(MakeTask("long", index, kLongVersion));
           break;
       }
-      world.RunFor(milliseconds(random() % 8000));
-      world.Restart(target, index);
-      world.CutFromLog(index, false);
-      world.set_log_down(false);
-      ASSERT_EQ(world.broken(), "") << "seed " << seed;
+      cluster.RunFor(milliseconds(random() % 8000));
+      cluster.Restart(target, index);
+      cluster.SetLogDisconnected(index, false);
+      cluster.set_log_down(false);
+      ASSERT_EQ(cluster.violation(), "") << "seed " << seed;
     }
     for (int entry = 0; entry < 3; ++entry) {
       for (int instance = 0; instance < 3; ++instance) {
-        world.CutLink(entry, instance, false);
+        cluster.SetLinkDisconnected(entry, instance, false);
       }
     }
-    const bool done =
-        world.RunUntil(kRunLimit, [&]() -> bool { return AllDone(&world); });
-    ASSERT_EQ(world.broken(), "") << "seed " << seed;
+    const bool done = cluster.RunUntil(
+        kRunLimit, [&]() -> bool { return AllDone(&cluster); });
+    ASSERT_EQ(cluster.violation(), "") << "seed " << seed;
     ASSERT_TRUE(done) << "not all tasks ended, seed " << seed << "\n"
-                      << world.Describe();
+                      << cluster.Describe();
   }
 }
 
--- a/Tests/Tasks/task_keeper_test.cc
+++ b/Tests/Tasks/task_keeper_test.cc
@@ -12,25 +12,25 @@
 constexpr uint64_t kFence = 20;
 constexpr uint32_t kCapacity = 16000;
 
-// What is changed of an order that would otherwise start a task.
+// A modification of an order that would otherwise start a task.
 struct OrderCase {
   const char* name;
   std::function<auto(schema::TaskOrder*)->void> change;
-  // Between the lease request and the order.
+  // Time from the lease request to the order.
   milliseconds later{100};
-  // Between the lease request and its grant; no grant if negative.
+  // Time from the lease request to its grant; if negative, no grant is sent.
   milliseconds grant_after{50};
-  // Empty if the task must be started.
+  // Counter of the expected rejection; empty if the task must be started.
   std::string counter;
 };
 
-// A keeper, its worker and its owner's messages.
-class KeeperDriver {
+// A supervisor with a simulated worker and owner.
+class SupervisorDriver {
  protected:
-  KeeperDriver() : keeper_(Options()) {}
+  SupervisorDriver() : supervisor_(Options()) {}
 
-  static auto Options() -> KeeperOptions {
-    KeeperOptions options;
+  static auto Options() -> SupervisorOptions {
+    SupervisorOptions options;
     options.agent_id = "agent-0";
     options.agent_incarnation = kAgent;
     options.instance = "instance-0";
@@ -38,22 +38,24 @@
     return options;
   }
 
-  // Answers the keeper's status call; returns the number of its request.
-  auto Introduce() -> uint64_t {
+  // Answers the supervisor's status call; returns the number of its lease
+  // request.
+  auto AnswerFirstStatus() -> uint64_t {
     uint64_t call_id = 0;
-    for (const KeeperAction& action : keeper_.OnTick(begin_)) {
+    for (const SupervisorAction& action : supervisor_.OnTick(begin_)) {
       if (const auto* call = std::get_if<CallWorker>(&action)) {
         call_id = call->call_id;
       }
     }
-    WorkerOutcome outcome;
+    TaskCallResult outcome;
     outcome.call_id = call_id;
     outcome.known = true;
     outcome.status.set_incarnation(kWorker);
     outcome.status.set_clock_ms(1000);
     outcome.status.mutable_capacity()->set_millicores(kCapacity);
     uint64_t number = 0;
-    for (const KeeperAction& action : keeper_.OnWorkerReply(begin_, outcome)) {
+    for (const SupervisorAction& action :
+         supervisor_.OnWorkerReply(begin_, outcome)) {
       if (const auto* send = std::get_if<SendToOwner>(&action)) {
         number = send->message.lease_request().number();
       }
@@ -61,14 +63,14 @@
     return number;
   }
 
-  auto Grant(TimePoint now, uint64_t number) -> KeeperActions {
+  auto Grant(TimePoint now, uint64_t number) -> SupervisorActions {
     schema::Envelope message;
     schema::LeaseGrant* grant = message.mutable_lease_grant();
     grant->set_cell("cell-0");
     grant->set_fence(kFence);
     grant->set_number(number);
     grant->set_ttl_ms(6000);
-    return keeper_.OnMessage(now, "entry-0", message);
+    return supervisor_.OnMessage(now, "entry-0", message);
   }
 
   static auto Order(uint64_t number) -> schema::Envelope {
@@ -86,22 +88,22 @@
     return message;
   }
 
-  // Ticks and answers every status call with `seen`, for the time given.
-  // Returns what else the keeper did.
+  // Ticks until `end` and answers every status call with `seen`. Returns all
+  // other actions of the supervisor.
   auto RunUntil(TimePoint end, const schema::WorkerTask* seen)
-      -> KeeperActions {
-    KeeperActions others;
+      -> SupervisorActions {
+    SupervisorActions others;
     for (; now_ < end; now_ += milliseconds(100)) {
-      KeeperActions actions = keeper_.OnTick(now_);
+      SupervisorActions actions = supervisor_.OnTick(now_);
       for (std::size_t i = 0; i < actions.size(); ++i) {
-        const KeeperAction action = actions[i];
+        const SupervisorAction action = actions[i];
         const auto* call = std::get_if<CallWorker>(&action);
         if (call == nullptr || call->kind != CallWorker::Kind::kStatus) {
           others.push_back(action);
           continue;
         }
-        for (KeeperAction& next :
-             keeper_.OnWorkerReply(now_, Status(call->call_id, seen))) {
+        for (SupervisorAction& next :
+             supervisor_.OnWorkerReply(now_, Status(call->call_id, seen))) {
           actions.push_back(std::move(next));
         }
       }
@@ -110,8 +112,8 @@
   }
 
   static auto Status(uint64_t call_id, const schema::WorkerTask* seen)
-      -> WorkerOutcome {
-    WorkerOutcome outcome;
+      -> TaskCallResult {
+    TaskCallResult outcome;
     outcome.call_id = call_id;
     outcome.known = true;
     outcome.status.set_incarnation(kWorker);
@@ -123,8 +125,8 @@
     return outcome;
   }
 
-  static auto StartIn(const KeeperActions& actions) -> const CallWorker* {
-    for (const KeeperAction& action : actions) {
+  static auto StartIn(const SupervisorActions& actions) -> const CallWorker* {
+    for (const SupervisorAction& action : actions) {
       const auto* call = std::get_if<CallWorker>(&action);
       if (call != nullptr && call->kind == CallWorker::Kind::kStart) {
         return call;
@@ -135,42 +137,42 @@
 
   const TimePoint begin_{std::chrono::hours(1)};
   TimePoint now_ = begin_;
-  TaskKeeper keeper_;
+  TaskSupervisor supervisor_;
 };
 
-class OrderTable : public KeeperDriver,
-                   public testing::TestWithParam<OrderCase> {};
+class OrderTest : public SupervisorDriver,
+                  public testing::TestWithParam<OrderCase> {};
 
-class LateStart : public KeeperDriver, public testing::Test {
+class LateStart : public SupervisorDriver, public testing::Test {
  protected:
-  // A task was ordered, its start was sent and the answer was lost.
-  auto LoseStart() -> CallWorker {
-    const uint64_t number = Introduce();
+  // Orders a task whose start is sent and whose answer is lost.
+  auto LoseStartReply() -> CallWorker {
+    const uint64_t number = AnswerFirstStatus();
     Grant(begin_, number);
-    const KeeperActions actions =
-        keeper_.OnMessage(begin_, "entry-0", Order(number));
+    const SupervisorActions actions =
+        supervisor_.OnMessage(begin_, "entry-0", Order(number));
     CallWorker start = *StartIn(actions);
-    WorkerOutcome lost;
+    TaskCallResult lost;
     lost.call_id = start.call_id;
     now_ = begin_ + milliseconds(500);
-    keeper_.OnWorkerReply(now_, lost);
+    supervisor_.OnWorkerReply(now_, lost);
     return start;
   }
 };
 
-// Symptom: a task starts although its owner has placed it elsewhere.
-// Sequence: an order comes late, from a replaced owner, for another
-// incarnation, or without a lease.
-// Cause: the agent looks at the order alone, and not at what it holds itself.
-TEST_P(OrderTable, StartsOnlyUnderItsOwnLease) {
+// Guards against starting a task that its owner has placed elsewhere. The order
+// is late, comes from a replaced owner, is meant for another incarnation or
+// arrives without a lease. The agent must check the order against its own
+// lease.
+TEST_P(OrderTest, StartsOnlyUnderItsOwnLease) {
   const OrderCase& param = GetParam();
-  const uint64_t number = Introduce();
+  const uint64_t number = AnswerFirstStatus();
   ASSERT_NE(number, 0U);
   std::string counters;
   bool started = false;
-  const auto look = [&](const KeeperActions& actions) -> void {
-    for (const KeeperAction& action : actions) {
-      if (const auto* count = std::get_if<CountKeeper>(&action)) {
+  const auto inspect = [&](const SupervisorActions& actions) -> void {
+    for (const SupervisorAction& action : actions) {
+      if (const auto* count = std::get_if<CountSupervisorEvent>(&action)) {
         counters += count->counter + " ";
       } else if (const auto* call = std::get_if<CallWorker>(&action)) {
         started = started || call->kind == CallWorker::Kind::kStart;
@@ -181,11 +183,11 @@
     }
   };
   if (param.grant_after >= milliseconds(0)) {
-    look(Grant(begin_ + param.grant_after, number));
+    inspect(Grant(begin_ + param.grant_after, number));
   }
   schema::Envelope order = Order(number);
   param.change(order.mutable_task_order());
-  look(keeper_.OnMessage(begin_ + param.later, "entry-0", order));
+  inspect(supervisor_.OnMessage(begin_ + param.later, "entry-0", order));
   EXPECT_EQ(started, param.counter.empty()) << counters;
   EXPECT_NE((counters + " ").find(param.counter), std::string::npos)
       << counters;
@@ -195,7 +197,7 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Cases,
-    OrderTable,
+    OrderTest,
     testing::Values(
         OrderCase{"Good", kAsIs, milliseconds(100), milliseconds(50), ""},
         OrderCase{"GrantLate", kAsIs, milliseconds(6200), milliseconds(6100),
@@ -236,18 +238,18 @@
                   milliseconds(100), milliseconds(50), "order_refused"}),
     [](const auto& param) { return param.param.name; });
 
-// Symptom: a task that was refused runs, and runs elsewhere too.
-// Sequence: a start is sent and its answer lost; the owner stops the attempt;
-// a status does not list it; then the start arrives.
-// Cause: absence is taken for proof while a start may still be under way.
+// Guards against a task that runs although it was rejected, and elsewhere too.
+// A start is sent and its answer lost, the owner stops the attempt, a status
+// does not list it, and then the start arrives. Absence from a status proves
+// nothing while a start may be in transit.
 TEST_F(LateStart, RefusedOnlyWhenNoStartCanArrive) {
-  const CallWorker start = LoseStart();
+  const CallWorker start = LoseStartReply();
   schema::Envelope stop = Order(0);
   stop.mutable_task_order()->set_kind(schema::STOP);
-  keeper_.OnMessage(now_, "entry-0", stop);
+  supervisor_.OnMessage(now_, "entry-0", stop);
   TimePoint refused = TimePoint::max();
   while (now_ < begin_ + milliseconds(9000)) {
-    for (const KeeperAction& action :
+    for (const SupervisorAction& action :
          RunUntil(now_ + milliseconds(100), nullptr)) {
       const auto* send = std::get_if<SendToOwner>(&action);
       if (send != nullptr &&
@@ -261,12 +263,12 @@
   EXPECT_LT(refused, now_);
 }
 
-// Symptom: a task that finished runs again.
-// Sequence: a start's answer is lost, the task finishes and is recorded, the
-// worker is told to forget it; then a copy of the start arrives.
-// Cause: nothing is left that knows the attempt.
+// Guards against a finished task running again. The answer to its start is
+// lost, the task finishes and its end is recorded, the worker is told to forget
+// it, and then a copy of the start arrives. No process would have a record of
+// the attempt by then.
 TEST_F(LateStart, ForgottenOnlyWhenNoStartCanArrive) {
-  const CallWorker start = LoseStart();
+  const CallWorker start = LoseStartReply();
   schema::WorkerTask seen;
   seen.set_name(start.start.name());
   seen.set_attempt(1);
@@ -281,10 +283,10 @@
   schema::EndedTask* recorded = grant->add_recorded();
   recorded->mutable_task()->set_job("job");
   recorded->set_attempt(1);
-  keeper_.OnMessage(now_, "entry-0", message);
+  supervisor_.OnMessage(now_, "entry-0", message);
   TimePoint forgotten = TimePoint::max();
   while (now_ < begin_ + milliseconds(9000)) {
-    for (const KeeperAction& action :
+    for (const SupervisorAction& action :
          RunUntil(now_ + milliseconds(100), &seen)) {
       const auto* call = std::get_if<CallWorker>(&action);
       if (call != nullptr && call->kind == CallWorker::Kind::kForget) {
--- a/Tests/Tasks/task_world.cc
+++ b/Tests/Tasks/task_world.cc
@@ -29,18 +29,18 @@
 
 }  // namespace
 
-TaskWorld::TaskWorld(WorldOptions options)
+SimulatedTaskCluster::SimulatedTaskCluster(SimulationOptions options)
     : options_(std::move(options)),
       random_(options_.seed),
       now_(std::chrono::hours(1)),
       entries_(options_.entries),
       agents_(options_.instances),
       workers_(options_.instances),
-      reference_("cell-0"),
+      reference_fold_("cell-0"),
       faults_(options_.faults) {
   const auto set_clock = [this](Process* process) -> void {
-    process->ahead = milliseconds(Random(1000000));
-    process->rate =
+    process->clock_offset = milliseconds(Random(1000000));
+    process->clock_rate =
         1 + 1e-6 * (Random(2 * options_.drift + 1) - options_.drift);
   };
   for (Entry& entry : entries_) {
@@ -61,48 +61,53 @@
   }
 }
 
-auto TaskWorld::At(milliseconds after, std::function<auto()->void> action)
+auto SimulatedTaskCluster::Schedule(milliseconds after,
+                                    std::function<auto()->void> action)
     -> void {
   queue_[{now_ + after, ++sequence_}] = std::move(action);
 }
 
-auto TaskWorld::In(Process* process,
-                   milliseconds after,
-                   std::function<auto()->void> act) -> void {
+auto SimulatedTaskCluster::RunInProcess(Process* process,
+                                        milliseconds after,
+                                        std::function<auto()->void> act)
+    -> void {
   const uint64_t epoch = process->epoch;
-  At(after, [this, process, epoch, act = std::move(act)]() mutable -> void {
-    if (!process->alive || process->epoch != epoch) {
-      return;
-    }
-    if (process->frozen_until > now_) {
-      const auto left =
-          std::chrono::ceil<milliseconds>(process->frozen_until - now_);
-      In(process, left, std::move(act));
-      return;
-    }
-    act();
-  });
+  Schedule(
+      after, [this, process, epoch, act = std::move(act)]() mutable -> void {
+        if (!process->alive || process->epoch != epoch) {
+          return;
+        }
+        if (process->frozen_until > now_) {
+          const auto left =
+              std::chrono::ceil<milliseconds>(process->frozen_until - now_);
+          RunInProcess(process, left, std::move(act));
+          return;
+        }
+        act();
+      });
 }
 
-auto TaskWorld::Local(const Process& process) const -> TimePoint {
+auto SimulatedTaskCluster::LocalTime(const Process& process) const
+    -> TimePoint {
   const auto real = now_.time_since_epoch();
-  return TimePoint(std::chrono::duration_cast<Duration>(real * process.rate)) +
-         process.ahead;
+  return TimePoint(
+             std::chrono::duration_cast<Duration>(real * process.clock_rate)) +
+         process.clock_offset;
 }
 
-auto TaskWorld::Random(int below) -> int {
+auto SimulatedTaskCluster::Random(int below) -> int {
   return static_cast<int>(random_() % static_cast<uint32_t>(below));
 }
 
-auto TaskWorld::Chance(int in_thousand) -> bool {
+auto SimulatedTaskCluster::Chance(int in_thousand) -> bool {
   return Random(kThousand) < in_thousand;
 }
 
-auto TaskWorld::NetDelay() -> milliseconds {
+auto SimulatedTaskCluster::NetDelay() -> milliseconds {
   return milliseconds(Chance(options_.delay) ? Random(10000) : 1 + Random(20));
 }
 
-auto TaskWorld::ProcessOf(Target target, int index) -> Process* {
+auto SimulatedTaskCluster::ProcessOf(Target target, int index) -> Process* {
   switch (target) {
     case Target::kWorker:
       return &workers_[index].process;
@@ -113,7 +118,7 @@
   }
 }
 
-auto TaskWorld::StartWorker(int index) -> void {
+auto SimulatedTaskCluster::StartWorker(int index) -> void {
   WorkerModelOptions options;
   options.incarnation = ++next_incarnation_;
   options.capacity.set_millicores(kMillicores);
@@ -123,20 +128,20 @@
   workers_[index].model = std::make_unique<WorkerModel>(std::move(options));
 }
 
-auto TaskWorld::StartAgent(int index) -> void {
-  KeeperOptions options;
+auto SimulatedTaskCluster::StartAgent(int index) -> void {
+  SupervisorOptions options;
   options.agent_id = AgentName(index);
   options.agent_incarnation = ++next_incarnation_;
   options.instance = InstanceName(index);
   options.cell = "cell-0";
   options.lease_ttl = options_.owner.lease_ttl;
   options.worker_lease = options_.owner.worker_lease;
-  agents_[index].keeper = std::make_unique<TaskKeeper>(options);
+  agents_[index].supervisor = std::make_unique<TaskSupervisor>(options);
   agents_[index].fence = 0;
   TickAgent(index);
 }
 
-auto TaskWorld::StartEntry(int index) -> void {
+auto SimulatedTaskCluster::StartEntry(int index) -> void {
   Entry& entry = entries_[index];
   OwnerOptions options = options_.owner;
   options.cell = "cell-0";
@@ -147,110 +152,118 @@
   queue.incarnation = options.entry_incarnation;
   entry.queue = std::make_unique<AppendQueue>(queue);
   entry.owner = std::make_unique<Owner>(options);
-  Carry(index, entry.owner->OnConfig(Local(entry.process), config_));
+  Execute(index, entry.owner->OnConfig(LocalTime(entry.process), config_));
   const int peer = Random(options_.entries);
   if (peer != index && entries_[peer].owner != nullptr) {
-    Carry(index,
-          entry.owner->OnSnapshot(Local(entry.process),
-                                  entries_[peer].owner->fold().Export()));
+    Execute(index,
+            entry.owner->OnSnapshot(LocalTime(entry.process),
+                                    entries_[peer].owner->fold().Export()));
   }
   TickEntry(index);
   ReadLog(index);
 }
 
-auto TaskWorld::SetConfig(std::vector<schema::VersionedObject> objects)
-    -> void {
+auto SimulatedTaskCluster::SetConfig(
+    std::vector<schema::VersionedObject> objects) -> void {
   config_ = std::move(objects);
   for (int i = 0; i < options_.entries; ++i) {
-    In(&entries_[i].process, milliseconds(Random(500)), [this, i]() -> void {
-      Entry& entry = entries_[i];
-      Carry(i, entry.owner->OnConfig(Local(entry.process), config_));
-    });
+    RunInProcess(
+        &entries_[i].process, milliseconds(Random(500)), [this, i]() -> void {
+          Entry& entry = entries_[i];
+          Execute(i, entry.owner->OnConfig(LocalTime(entry.process), config_));
+        });
   }
 }
 
-auto TaskWorld::TickEntry(int index) -> void {
-  In(&entries_[index].process, kTick, [this, index]() -> void {
+auto SimulatedTaskCluster::TickEntry(int index) -> void {
+  RunInProcess(&entries_[index].process, kTick, [this, index]() -> void {
     Entry& entry = entries_[index];
-    Carry(index, entry.owner->OnTick(Local(entry.process)));
+    Execute(index, entry.owner->OnTick(LocalTime(entry.process)));
     PumpAppends(index);
     TickEntry(index);
   });
 }
 
-auto TaskWorld::TickAgent(int index) -> void {
-  In(&agents_[index].process, kTick, [this, index]() -> void {
+auto SimulatedTaskCluster::TickAgent(int index) -> void {
+  RunInProcess(&agents_[index].process, kTick, [this, index]() -> void {
     Agent& agent = agents_[index];
-    Carry(index, agent.keeper->OnTick(Local(agent.process)));
+    Execute(index, agent.supervisor->OnTick(LocalTime(agent.process)));
     TickAgent(index);
   });
 }
 
-auto TaskWorld::ReadLog(int index) -> void {
-  In(&entries_[index].process, kReadInterval, [this, index]() -> void {
-    ReadLog(index);
-    Entry& entry = entries_[index];
-    const TimePoint asked = Local(entry.process);
-    if (log_down_ || entry.cut) {
-      return;
-    }
-    if (Chance(options_.lose)) {
-      return;
-    }
-    const uint64_t epoch = entry.process.epoch;
-    At(NetDelay(), [this, index, asked, epoch]() -> void {
-      const std::size_t end = log_.size();
-      Process* process = &entries_[index].process;
-      if (process->epoch != epoch) {
-        return;
-      }
-      In(process, NetDelay(), [this, index, asked, end]() -> void {
+auto SimulatedTaskCluster::ReadLog(int index) -> void {
+  RunInProcess(
+      &entries_[index].process, kReadInterval, [this, index]() -> void {
+        ReadLog(index);
         Entry& entry = entries_[index];
-        const TimePoint now = Local(entry.process);
-        for (std::size_t i = entry.owner->fold().applied(); i < end; ++i) {
-          Carry(index, entry.owner->OnRecord(now, i + 1, log_[i]));
-          entry.queue->OnRead(now, log_[i]);
+        const TimePoint asked = LocalTime(entry.process);
+        if (log_down_ || entry.disconnected) {
+          return;
         }
-        entry.queue->OnCaughtUp(now, asked);
-        Carry(index, entry.owner->OnCaughtUp(now, asked));
+        if (Chance(options_.lose)) {
+          return;
+        }
+        const uint64_t epoch = entry.process.epoch;
+        Schedule(NetDelay(), [this, index, asked, epoch]() -> void {
+          const std::size_t end = log_.size();
+          Process* process = &entries_[index].process;
+          if (process->epoch != epoch) {
+            return;
+          }
+          RunInProcess(
+              process, NetDelay(), [this, index, asked, end]() -> void {
+                Entry& entry = entries_[index];
+                const TimePoint now = LocalTime(entry.process);
+                for (std::size_t i = entry.owner->fold().applied(); i < end;
+                     ++i) {
+                  Execute(index, entry.owner->OnRecord(now, i + 1, log_[i]));
+                  entry.queue->OnRead(now, log_[i]);
+                }
+                entry.queue->OnCaughtUp(now, asked);
+                Execute(index, entry.owner->OnCaughtUp(now, asked));
+              });
+        });
       });
-    });
-  });
 }
 
-auto TaskWorld::PumpAppends(int index) -> void {
+auto SimulatedTaskCluster::PumpAppends(int index) -> void {
   Entry& entry = entries_[index];
-  const TimePoint now = Local(entry.process);
+  const TimePoint now = LocalTime(entry.process);
   const auto record = entry.queue->NextRecord(now);
   if (!record.has_value()) {
     return;
   }
-  if (log_down_ || entry.cut) {
+  if (log_down_ || entry.disconnected) {
     entry.queue->OnRefused(now);
     for (const schema::LogEntry& failed : entry.queue->TakeUnsent()) {
-      Carry(index, entry.owner->OnAppendFailed(now, failed));
+      Execute(index, entry.owner->OnAppendFailed(now, failed));
     }
     return;
   }
   const bool arrives = !Chance(options_.lose);
-  const milliseconds there = NetDelay();
+  const milliseconds one_way_delay = NetDelay();
   if (arrives) {
-    At(there, [this, copy = *record]() -> void { AppendToLog(copy); });
-  }
-  if (arrives && there < kAppendTimeout && !Chance(options_.lose)) {
-    In(&entry.process, there + milliseconds(1), [this, index]() -> void {
-      entries_[index].queue->OnAppended(Local(entries_[index].process));
-    });
+    Schedule(one_way_delay,
+             [this, copy = *record]() -> void { AppendToLog(copy); });
+  }
+  if (arrives && one_way_delay < kAppendTimeout && !Chance(options_.lose)) {
+    RunInProcess(
+        &entry.process, one_way_delay + milliseconds(1),
+        [this, index]() -> void {
+          entries_[index].queue->OnAppended(LocalTime(entries_[index].process));
+        });
     return;
   }
-  In(&entry.process, kAppendTimeout, [this, index]() -> void {
-    entries_[index].queue->OnUnknown(Local(entries_[index].process));
+  RunInProcess(&entry.process, kAppendTimeout, [this, index]() -> void {
+    entries_[index].queue->OnUnknown(LocalTime(entries_[index].process));
   });
 }
 
-auto TaskWorld::AppendToLog(const schema::LogRecord& record) -> void {
+auto SimulatedTaskCluster::AppendToLog(const schema::LogRecord& record)
+    -> void {
   log_.push_back(record);
-  for (const CellEffect& effect : reference_.Apply(log_.size(), record)) {
+  for (const CellEffect& effect : reference_fold_.Apply(log_.size(), record)) {
     if (!effect.accepted || !effect.entry.has_task_end()) {
       continue;
     }
@@ -258,142 +271,156 @@
     if (end.outcome() == schema::FINISHED) {
       finished_.insert(TaskName(end.task()));
     }
-    Reach(Step::kEnd, 0);
+    TriggerFaults(Step::kEnd, 0);
   }
-  if (reference_.fence() != 0 && reference_.fence() < highest_fence_) {
-    Break("the fence went down");
+  if (reference_fold_.fence() != 0 &&
+      reference_fold_.fence() < highest_fence_) {
+    ReportViolation("the fence decreased");
   }
-  highest_fence_ = std::max(highest_fence_, reference_.fence());
+  highest_fence_ = std::max(highest_fence_, reference_fold_.fence());
 }
 
-auto TaskWorld::Carry(int entry, const OwnerActions& actions) -> void {
+auto SimulatedTaskCluster::Execute(int entry, const OwnerActions& actions)
+    -> void {
   for (const OwnerAction& action : actions) {
-    if (const auto* append = std::get_if<AppendCell>(&action)) {
+    if (const auto* append = std::get_if<AppendToCell>(&action)) {
       entries_[entry].queue->Enqueue(append->entry,
-                                     Local(entries_[entry].process));
+                                     LocalTime(entries_[entry].process));
       if (append->entry.has_placement()) {
-        Reach(Step::kPlace, append->entry.placement().instance().back() - '0');
+        TriggerFaults(Step::kPlace,
+                      append->entry.placement().instance().back() - '0');
       }
-    } else if (const auto* count = std::get_if<CountOwner>(&action)) {
+    } else if (const auto* count = std::get_if<CountOwnerEvent>(&action)) {
       ++counts_[count->counter];
-    } else if (const auto* order = std::get_if<OrderAgent>(&action)) {
+    } else if (const auto* order = std::get_if<SendToSupervisor>(&action)) {
       const int agent = order->agent.back() - '0';
-      if (!cut_links_.contains({entry, agent})) {
+      if (!disconnected_links_.contains({entry, agent})) {
         Send(&agents_[agent].process,
              [this, entry, agent, message = order->message]() -> void {
                Agent& to = agents_[agent];
-               Carry(agent, to.keeper->OnMessage(Local(to.process),
-                                                 EntryName(entry), message));
+               Execute(agent,
+                       to.supervisor->OnMessage(LocalTime(to.process),
+                                                EntryName(entry), message));
              });
       }
     }
   }
 }
 
-auto TaskWorld::Carry(int agent, const KeeperActions& actions) -> void {
-  for (const KeeperAction& action : actions) {
+auto SimulatedTaskCluster::Execute(int agent, const SupervisorActions& actions)
+    -> void {
+  for (const SupervisorAction& action : actions) {
     if (const auto* call = std::get_if<CallWorker>(&action)) {
       Call(agent, *call);
-    } else if (const auto* count = std::get_if<CountKeeper>(&action)) {
+    } else if (const auto* count = std::get_if<CountSupervisorEvent>(&action)) {
       ++counts_[count->counter];
     } else if (const auto* send = std::get_if<SendToOwner>(&action)) {
       for (int i = 0; i < options_.entries; ++i) {
         const bool to = send->entry.empty() || send->entry == EntryName(i);
-        if (!to || cut_links_.contains({i, agent})) {
+        if (!to || disconnected_links_.contains({i, agent})) {
           continue;
         }
         Send(&entries_[i].process,
              [this, i, agent, message = send->message]() -> void {
                Entry& entry = entries_[i];
-               Carry(i, entry.owner->OnMessage(Local(entry.process),
-                                               AgentName(agent), message));
+               Execute(i, entry.owner->OnMessage(LocalTime(entry.process),
+                                                 AgentName(agent), message));
              });
       }
     }
   }
 }
 
-auto TaskWorld::Send(Process* to, std::function<auto()->void> deliver) -> void {
+auto SimulatedTaskCluster::Send(Process* to,
+                                std::function<auto()->void> deliver) -> void {
   if (Chance(options_.lose)) {
     return;
   }
-  // Reaches whichever incarnation is there by then.
+  // Delivers to the incarnation that is running on arrival.
   const auto arrive = [this, to, deliver = std::move(deliver)]() -> void {
-    In(to, milliseconds(0), deliver);
+    RunInProcess(to, milliseconds(0), deliver);
   };
   if (Chance(options_.repeat)) {
-    At(NetDelay(), arrive);
+    Schedule(NetDelay(), arrive);
   }
-  At(NetDelay(), arrive);
+  Schedule(NetDelay(), arrive);
 }
 
-auto TaskWorld::Call(int agent, const CallWorker& call) -> void {
+auto SimulatedTaskCluster::Call(int agent, const CallWorker& call) -> void {
   Process* caller = &agents_[agent].process;
   const uint64_t id = call.call_id;
-  // A restarted agent gets no answers to calls of the one before.
+  // A restarted agent receives no answers to calls of its previous incarnation.
   const auto answer = [this, agent, epoch = caller->epoch](
-                          const WorkerOutcome& outcome) -> void {
+                          const TaskCallResult& outcome) -> void {
     Agent& to = agents_[agent];
     if (to.process.epoch != epoch) {
       return;
     }
-    Carry(agent, to.keeper->OnWorkerReply(Local(to.process), outcome));
+    Execute(agent,
+            to.supervisor->OnWorkerReply(LocalTime(to.process), outcome));
   };
-  WorkerOutcome unsent;
+  TaskCallResult unsent;
   unsent.call_id = id;
   unsent.not_sent = true;
-  if (Local(*caller) >= call.not_after || !workers_[agent].process.alive) {
-    In(caller, milliseconds(1), [answer, unsent]() -> void { answer(unsent); });
+  if (LocalTime(*caller) >= call.not_after || !workers_[agent].process.alive) {
+    RunInProcess(caller, milliseconds(1),
+                 [answer, unsent]() -> void { answer(unsent); });
     return;
   }
   if (call.kind == CallWorker::Kind::kStart) {
-    Reach(Step::kStartSent, agent);
+    TriggerFaults(Step::kStartSent, agent);
   }
-  // A pause between check and act, or a delay on the way, or none.
-  const milliseconds there = Chance(options_.hold)
-                                 ? milliseconds(Random(20000))
-                                 : milliseconds(1 + Random(10));
+  // Either a pause between check and execution, or network delay.
+  const milliseconds one_way_delay = Chance(options_.hold)
+                                         ? milliseconds(Random(20000))
+                                         : milliseconds(1 + Random(10));
   Process* worker = &workers_[agent].process;
-  const bool answered = !Chance(options_.lose) && !workers_[agent].cut;
-  if (workers_[agent].cut && Chance(kThousand / 2)) {
-    // Lost before it acted; else only its answer is lost.
-    In(caller, kCallTimeout, [answer, id]() -> void {
-      WorkerOutcome lost;
+  const bool answered = !Chance(options_.lose) && !workers_[agent].disconnected;
+  if (workers_[agent].disconnected && Chance(kThousand / 2)) {
+    // The request is lost; in the other half of the cases only the answer is.
+    RunInProcess(caller, kCallTimeout, [answer, id]() -> void {
+      TaskCallResult lost;
       lost.call_id = id;
       answer(lost);
     });
     return;
   }
-  At(there, [this, agent, call, caller, worker, answer, answered]() -> void {
-    if (!worker->alive) {
-      return;
-    }
-    // Not bound to the worker's incarnation: bytes may reach the next one.
-    const milliseconds thaw =
-        std::max(milliseconds(0),
+  Schedule(one_way_delay,
+           [this, agent, call, caller, worker, answer, answered]() -> void {
+             if (!worker->alive) {
+               return;
+             }
+             // Not bound to an incarnation of the worker: bytes in transit may
+             // reach the next one.
+             const milliseconds thaw_delay = std::max(
+                 milliseconds(0),
                  std::chrono::ceil<milliseconds>(worker->frozen_until - now_));
-    At(thaw, [this, agent, call, caller, answer, answered]() -> void {
-      if (!workers_[agent].process.alive) {
-        return;
-      }
-      const WorkerOutcome outcome = Act(agent, call);
-      if (answered) {
-        In(caller, milliseconds(1 + Random(10)),
-           [answer, outcome]() -> void { answer(outcome); });
-      }
-    });
-  });
-  // Ignored by the keeper if the answer came before.
-  WorkerOutcome lost;
+             Schedule(thaw_delay,
+                      [this, agent, call, caller, answer, answered]() -> void {
+                        if (!workers_[agent].process.alive) {
+                          return;
+                        }
+                        const TaskCallResult outcome = ExecuteCall(agent, call);
+                        if (answered) {
+                          RunInProcess(
+                              caller, milliseconds(1 + Random(10)),
+                              [answer, outcome]() -> void { answer(outcome); });
+                        }
+                      });
+           });
+  // Ignored by the supervisor if the answer was received earlier.
+  TaskCallResult lost;
   lost.call_id = id;
-  In(caller, kCallTimeout, [answer, lost]() -> void { answer(lost); });
+  RunInProcess(caller, kCallTimeout,
+               [answer, lost]() -> void { answer(lost); });
 }
 
-auto TaskWorld::Act(int instance, const CallWorker& call) -> WorkerOutcome {
+auto SimulatedTaskCluster::ExecuteCall(int instance, const CallWorker& call)
+    -> TaskCallResult {
   Worker& worker = workers_[instance];
   WorkerModel& model = *worker.model;
-  const TimePoint now = Local(worker.process);
-  WorkerOutcome outcome;
+  const TimePoint now = LocalTime(worker.process);
+  TaskCallResult outcome;
   outcome.call_id = call.call_id;
   outcome.known = true;
   switch (call.kind) {
@@ -402,19 +429,19 @@
       break;
     case CallWorker::Kind::kStart:
       outcome.reply = model.Start(now, call.start);
-      Reach(Step::kStartDone, instance);
+      TriggerFaults(Step::kStartDone, instance);
       break;
     case CallWorker::Kind::kRenew:
       outcome.reply = model.Renew(now, call.renew);
-      Reach(Step::kRenewDone, instance);
+      TriggerFaults(Step::kRenewDone, instance);
       break;
     case CallWorker::Kind::kCheckpoint:
       outcome.reply = model.Command(now, "checkpoint", call.command);
-      Reach(Step::kCheckpointDone, instance);
+      TriggerFaults(Step::kCheckpointDone, instance);
       break;
     case CallWorker::Kind::kStop:
       outcome.reply = model.Command(now, "stop", call.command);
-      Reach(Step::kStopDone, instance);
+      TriggerFaults(Step::kStopDone, instance);
       break;
     case CallWorker::Kind::kForget:
       outcome.reply = model.Command(now, "forget", call.command);
@@ -429,7 +456,7 @@
   return outcome;
 }
 
-auto TaskWorld::Reach(Step step, int instance) -> void {
+auto SimulatedTaskCluster::TriggerFaults(Step step, int instance) -> void {
   for (Fault& fault : faults_) {
     if (fault.step != step || --fault.nth != 0) {
       continue;
@@ -438,45 +465,52 @@
     const int index =
         target == Target::kOwner ? std::max(owner(), 0) : instance;
     if (fault.kind == FaultKind::kFreeze) {
-      Freeze(target, index, fault.down);
+      Freeze(target, index, fault.downtime);
       continue;
     }
-    if (fault.kind == FaultKind::kCut) {
-      CutFor(target, index, fault.down);
+    if (fault.kind == FaultKind::kDisconnect) {
+      DisconnectFor(target, index, fault.downtime);
       continue;
     }
-    // After the event that reached the step, not within it.
-    At(milliseconds(0),
-       [this, target, index]() -> void { Kill(target, index); });
-    At(fault.down, [this, target, index]() -> void { Restart(target, index); });
+    // Runs after the event that reached the step has completed.
+    Schedule(milliseconds(0),
+             [this, target, index]() -> void { Kill(target, index); });
+    Schedule(fault.downtime,
+             [this, target, index]() -> void { Restart(target, index); });
   }
   std::erase_if(faults_, [](const Fault& fault) { return fault.nth <= 0; });
 }
 
-auto TaskWorld::CutFor(Target target, int index, milliseconds time) -> void {
+auto SimulatedTaskCluster::DisconnectFor(Target target,
+                                         int index,
+                                         milliseconds time) -> void {
   if (target == Target::kWorker) {
-    workers_[index].cut = true;
-    At(time, [this, index]() -> void { workers_[index].cut = false; });
+    workers_[index].disconnected = true;
+    Schedule(time,
+             [this, index]() -> void { workers_[index].disconnected = false; });
   } else if (target == Target::kOwner) {
-    CutFromLog(index, true);
-    At(time, [this, index]() -> void { CutFromLog(index, false); });
+    SetLogDisconnected(index, true);
+    Schedule(time,
+             [this, index]() -> void { SetLogDisconnected(index, false); });
   } else {
     const int entry = std::max(owner(), 0);
-    CutLink(entry, index, true);
-    At(time, [this, entry, index]() -> void { CutLink(entry, index, false); });
+    SetLinkDisconnected(entry, index, true);
+    Schedule(time, [this, entry, index]() -> void {
+      SetLinkDisconnected(entry, index, false);
+    });
   }
 }
 
-auto TaskWorld::Kill(Target target, int index) -> void {
+auto SimulatedTaskCluster::Kill(Target target, int index) -> void {
   Process* process = ProcessOf(target, index);
   if (target == Target::kWorker && process->alive) {
-    workers_[index].model->Advance(Local(*process));
+    workers_[index].model->Advance(LocalTime(*process));
   }
   process->alive = false;
   ++process->epoch;
 }
 
-auto TaskWorld::Restart(Target target, int index) -> void {
+auto SimulatedTaskCluster::Restart(Target target, int index) -> void {
   Process* process = ProcessOf(target, index);
   if (process->alive) {
     return;
@@ -492,53 +526,58 @@
   }
 }
 
-auto TaskWorld::Freeze(Target target, int index, milliseconds time) -> void {
+auto SimulatedTaskCluster::Freeze(Target target, int index, milliseconds time)
+    -> void {
   ProcessOf(target, index)->frozen_until = now_ + time;
 }
 
-auto TaskWorld::CutLink(int entry, int instance, bool cut) -> void {
-  if (cut) {
-    cut_links_.insert({entry, instance});
+auto SimulatedTaskCluster::SetLinkDisconnected(int entry,
+                                               int instance,
+                                               bool disconnected) -> void {
+  if (disconnected) {
+    disconnected_links_.insert({entry, instance});
   } else {
-    cut_links_.erase({entry, instance});
+    disconnected_links_.erase({entry, instance});
   }
 }
 
-auto TaskWorld::Evict(const schema::TaskId& task) -> void {
+auto SimulatedTaskCluster::Evict(const schema::TaskId& task) -> void {
   for (int i = 0; i < options_.entries; ++i) {
     Entry& entry = entries_[i];
     if (entry.process.alive && entry.owner->owns()) {
-      Carry(i, entry.owner->Evict(Local(entry.process), task));
+      Execute(i, entry.owner->Evict(LocalTime(entry.process), task));
     }
   }
 }
 
-auto TaskWorld::ReleaseCell(int entry) -> void {
+auto SimulatedTaskCluster::ReleaseCell(int entry) -> void {
   Entry& from = entries_[entry];
-  Carry(entry, from.owner->Release(Local(from.process)));
+  Execute(entry, from.owner->Release(LocalTime(from.process)));
 }
 
-auto TaskWorld::LeaveAgent(int instance) -> void {
+auto SimulatedTaskCluster::LeaveAgent(int instance) -> void {
   Agent& agent = agents_[instance];
-  Carry(instance, agent.keeper->Leave(Local(agent.process)));
+  Execute(instance, agent.supervisor->Leave(LocalTime(agent.process)));
 }
 
-auto TaskWorld::owner() const -> int {
+auto SimulatedTaskCluster::owner() const -> int {
   for (int i = 0; i < options_.entries; ++i) {
-    if (reference_.fence() != 0 && reference_.owner() == EntryName(i)) {
+    if (reference_fold_.fence() != 0 &&
+        reference_fold_.owner() == EntryName(i)) {
       return i;
     }
   }
   return -1;
 }
 
-auto TaskWorld::Runs(int instance, const std::string& task) const -> bool {
+auto SimulatedTaskCluster::Runs(int instance, const std::string& task) const
+    -> bool {
   const Worker& worker = workers_[instance];
   if (!worker.process.alive) {
     return false;
   }
   const schema::WorkerStatus status =
-      worker.model->Status(Local(worker.process));
+      worker.model->Status(LocalTime(worker.process));
   return std::any_of(status.tasks().begin(), status.tasks().end(),
                      [&](const schema::WorkerTask& seen) -> bool {
                        const auto name =
@@ -549,7 +588,8 @@
                      });
 }
 
-auto TaskWorld::RunsOn(const std::string& task) const -> int {
+auto SimulatedTaskCluster::RunningInstance(const std::string& task) const
+    -> int {
   for (int i = 0; i < options_.instances; ++i) {
     if (Runs(i, task)) {
       return i;
@@ -558,9 +598,9 @@
   return -1;
 }
 
-auto TaskWorld::OnWorkerEvent(int instance,
-                              const std::string& event,
-                              const std::string& name) -> void {
+auto SimulatedTaskCluster::OnWorkerEvent(int instance,
+                                         const std::string& event,
+                                         const std::string& name) -> void {
   const auto parsed = tasks::ParseWorkerTaskName(name);
   const std::string task = TaskName(parsed->task);
   if (event != "start") {
@@ -568,76 +608,77 @@
   }
   ++starts_[task];
   if (finished_.contains(task)) {
-    Break(task + " runs again after its finish was recorded");
+    ReportViolation(task + " was restarted after its finish was recorded");
   }
   if (!started_attempts_.insert(name).second) {
-    Break(name + " was started twice");
+    ReportViolation(name + " was started twice");
   }
   for (int i = 0; i < options_.instances; ++i) {
     if (i != instance && Runs(i, task)) {
-      Break(task + " runs on " + InstanceName(i) + " and " +
-            InstanceName(instance));
+      ReportViolation(task + " runs on " + InstanceName(i) + " and " +
+                      InstanceName(instance));
     }
   }
 }
 
-auto TaskWorld::Check() -> void {
+auto SimulatedTaskCluster::Check() -> void {
   ++events_;
   for (int i = 0; i < options_.instances; ++i) {
     Agent& agent = agents_[i];
-    if (agent.keeper->fence() < agent.fence) {
-      Break("the fence went down at " + AgentName(i));
+    if (agent.supervisor->fence() < agent.fence) {
+      ReportViolation("the fence decreased at " + AgentName(i));
     }
-    agent.fence = agent.keeper->fence();
+    agent.fence = agent.supervisor->fence();
     if (!workers_[i].process.alive) {
       continue;
     }
-    workers_[i].model->Advance(Local(workers_[i].process));
+    workers_[i].model->Advance(LocalTime(workers_[i].process));
     if (workers_[i].model->running_need().millicores() > kMillicores) {
-      Break(InstanceName(i) + " holds more than its capacity");
+      ReportViolation(InstanceName(i) + " exceeds its capacity");
     }
   }
 }
 
-auto TaskWorld::Break(const std::string& what) -> void {
-  if (broken_.empty()) {
-    broken_ = what + " at " +
-              std::to_string(std::chrono::duration_cast<milliseconds>(
-                                 now_ - TimePoint(std::chrono::hours(1)))
-                                 .count()) +
-              " ms";
+auto SimulatedTaskCluster::ReportViolation(const std::string& what) -> void {
+  if (violation_.empty()) {
+    violation_ = what + " at " +
+                 std::to_string(std::chrono::duration_cast<milliseconds>(
+                                    now_ - TimePoint(std::chrono::hours(1)))
+                                    .count()) +
+                 " ms";
   }
 }
 
-auto TaskWorld::RunUntil(milliseconds limit,
-                         const std::function<auto()->bool>& done) -> bool {
+auto SimulatedTaskCluster::RunUntil(milliseconds limit,
+                                    const std::function<auto()->bool>& done)
+    -> bool {
   const TimePoint end = now_ + limit;
   while (!queue_.empty() && queue_.begin()->first.first <= end) {
     auto next = queue_.extract(queue_.begin());
     now_ = next.key().first;
     next.mapped()();
     Check();
-    if (!broken_.empty() || done()) {
-      return broken_.empty();
+    if (!violation_.empty() || done()) {
+      return violation_.empty();
     }
   }
   now_ = end;
   return false;
 }
 
-auto TaskWorld::Describe() -> std::string {
+auto SimulatedTaskCluster::Describe() -> std::string {
   std::string text = "owner " + std::to_string(owner());
-  for (const auto& [name, state] : reference_.tasks()) {
+  for (const auto& [name, state] : reference_fold_.tasks()) {
     text += "\n" + name + ": " + state.ShortDebugString();
   }
   for (int i = 0; i < options_.entries; ++i) {
     const Entry& entry = entries_[i];
-    for (const TaskView& view : entry.owner->Tasks(Local(entry.process))) {
+    for (const TaskView& view : entry.owner->Tasks(LocalTime(entry.process))) {
       text += "\n" + EntryName(i) + ": " +
-              entry.owner->Explain(Local(entry.process), view.task);
+              entry.owner->Explain(LocalTime(entry.process), view.task);
     }
     for (const InstanceView& view :
-         entry.owner->Instances(Local(entry.process))) {
+         entry.owner->Instances(LocalTime(entry.process))) {
       text += "\n" + EntryName(i) + ": " + view.instance + " " + view.state;
     }
   }
@@ -646,17 +687,17 @@
   }
   for (int i = 0; i < options_.instances; ++i) {
     text += "\n" + AgentName(i) + ":";
-    for (const schema::RunningTask& task : agents_[i].keeper->running()) {
+    for (const schema::RunningTask& task : agents_[i].supervisor->running()) {
       text += " " + TaskName(task.task());
     }
     text += "\n" + workers_[i]
-                       .model->Status(Local(workers_[i].process))
+                       .model->Status(LocalTime(workers_[i].process))
                        .ShortDebugString();
   }
   return text;
 }
 
-auto TaskWorld::RunFor(milliseconds time) -> void {
+auto SimulatedTaskCluster::RunFor(milliseconds time) -> void {
   RunUntil(time, []() -> bool { return false; });
 }
 
--- a/Tests/Tasks/worker_crash_test.cc
+++ b/Tests/Tasks/worker_crash_test.cc
@@ -1,4 +1,4 @@
-// Tasks under which instances start anew, soon after each start or late.
+// Tasks whose instances crash, shortly after each start or later.
 
 #include <gtest/gtest.h>
 
@@ -17,11 +17,11 @@
 
 struct CrashCase {
   std::string name;
-  // From the start of the task to the crash of its instance's worker.
+  // Time from the start of the task to the crash of its instance's worker.
   milliseconds after{200};
   // The cell's owner is killed after each crash.
-  bool owner_ends = false;
-  bool given_up = false;
+  bool owner_killed = false;
+  bool expect_failed = false;
 };
 
 class TaskCrashTest : public testing::TestWithParam<CrashCase> {
@@ -30,47 +30,49 @@
     return TaskName(MakeTask("job", 0, kVersion));
   }
 
-  // The task starts, and its worker crashes and comes back. False if the task
-  // does not start any more.
-  static auto CrashOnce(TaskWorld* world) -> bool {
-    const bool runs = world->RunUntil(
-        kLongestWait, [world]() -> bool { return world->RunsOn(Name()) >= 0; });
+  // Waits for the task to run, then crashes its worker and restarts it. Returns
+  // false if the task is not started again.
+  static auto CrashOnce(SimulatedTaskCluster* cluster) -> bool {
+    const bool runs = cluster->RunUntil(kLongestWait, [cluster]() -> bool {
+      return cluster->RunningInstance(Name()) >= 0;
+    });
     if (!runs) {
       return false;
     }
-    const int instance = world->RunsOn(Name());
-    world->RunFor(GetParam().after);
-    world->Kill(Target::kWorker, instance);
-    const int owner = world->owner();
-    if (GetParam().owner_ends && owner >= 0) {
-      world->Kill(Target::kOwner, owner);
+    const int instance = cluster->RunningInstance(Name());
+    cluster->RunFor(GetParam().after);
+    cluster->Kill(Target::kWorker, instance);
+    const int owner = cluster->owner();
+    if (GetParam().owner_killed && owner >= 0) {
+      cluster->Kill(Target::kOwner, owner);
     }
-    world->RunFor(kDown);
-    world->Restart(Target::kWorker, instance);
-    if (GetParam().owner_ends && owner >= 0) {
-      world->Restart(Target::kOwner, owner);
+    cluster->RunFor(kDown);
+    cluster->Restart(Target::kWorker, instance);
+    if (GetParam().owner_killed && owner >= 0) {
+      cluster->Restart(Target::kOwner, owner);
     }
     return true;
   }
 };
 
-// Guards against a task that crashes its instances being started without end,
-// and against one given up that only ran there when they crashed.
-TEST_P(TaskCrashTest, IsGivenUpOnlyIfItCrashesItsInstances) {
-  WorldOptions options;
-  TaskWorld world(options);
-  world.SetConfig({MakeInstance(0), MakeInstance(1),
-                   MakeJob("job", 1, "run 7200000", kVersion)});
+// Guards against starting a task that crashes its instances without limit, and
+// against marking a task as failed that was only running when its instances
+// crashed.
+TEST_P(TaskCrashTest, FailsOnlyIfItCrashesItsInstances) {
+  SimulationOptions options;
+  SimulatedTaskCluster cluster(options);
+  cluster.SetConfig({MakeInstance(0), MakeInstance(1),
+                     MakeJob("job", 1, "run 7200000", kVersion)});
   int crashes = 0;
-  while (crashes < kCrashes && CrashOnce(&world)) {
+  while (crashes < kCrashes && CrashOnce(&cluster)) {
     ++crashes;
   }
-  EXPECT_EQ(world.broken(), "");
-  if (GetParam().given_up) {
-    EXPECT_GE(crashes, 2) << "given up on too little";
-    EXPECT_LE(crashes, 5) << world.Describe();
+  EXPECT_EQ(cluster.violation(), "");
+  if (GetParam().expect_failed) {
+    EXPECT_GE(crashes, 2) << "marked as failed after too few crashes";
+    EXPECT_LE(crashes, 5) << cluster.Describe();
   } else {
-    EXPECT_EQ(crashes, kCrashes) << world.Describe();
+    EXPECT_EQ(crashes, kCrashes) << cluster.Describe();
   }
 }
 
