--- a/Source/Jobs/append_batcher.cc
+++ b/Source/Jobs/append_batcher.cc
@@ -6,10 +6,11 @@
 namespace rhubarbhaven::jobs {
 namespace {
 
-// Weight of the newest answer in the usual time of one.
+// The newest response time enters the smoothed one with a weight of one part in
+// this many.
 constexpr int kSmoothing = 4;
 constexpr int kTimeoutFactor = 4;
-constexpr int kMostDoublings = 5;
+constexpr int kMaxDoublings = 5;
 
 auto BytesOf(const std::vector<KeyedRecord>& records) -> std::size_t {
   std::size_t bytes = 0;
@@ -59,22 +60,23 @@
   in_flight_ = false;
   switch (result.outcome) {
     case AppendOutcome::kAppended:
-      usual_answer_ += (now - sent_at_ - usual_answer_) / kSmoothing;
-      return Settle(AppendFate::kStored);
-    case AppendOutcome::kRefused:
-      refused_ = true;
+      smoothed_latency_ += (now - sent_at_ - smoothed_latency_) / kSmoothing;
+      return Settle(EntryOutcome::kStored);
+    case AppendOutcome::kRejected:
+      rejected_ = true;
       BackOff(now);
-      if (options_.give_back_refused && !maybe_stored_) {
-        // Had the log stored the batch all the same, it would take the next one
-        // under the same number for a repeat and answer without storing it: an
-        // accepted job would be unknown. Under a new epoch it cannot.
+      if (options_.settle_rejected && !maybe_stored_) {
+        // If the log had stored the batch after all, it would treat the next
+        // batch under the same sequence number as a repeat and acknowledge it
+        // without storing it. An accepted job would then be missing. A new
+        // epoch rules this out.
         ++options_.epoch;
-        return Settle(AppendFate::kNotStored);
+        return Settle(EntryOutcome::kNotStored);
       }
       return {};
     case AppendOutcome::kUnknown:
       maybe_stored_ = true;
-      refused_ = false;
+      rejected_ = false;
       BackOff(now);
       return {};
     case AppendOutcome::kFenced:
@@ -82,9 +84,10 @@
       return {};
     case AppendOutcome::kOutOfOrder:
       if (result.expected_sequence > sequence_) {
-        // An earlier try was stored, and the log no longer repeats its answer.
+        // An earlier attempt was stored, and the log no longer keeps its
+        // response.
         sequence_ = result.expected_sequence - 1;
-        return Settle(AppendFate::kStored);
+        return Settle(EntryOutcome::kStored);
       }
       sequence_ = result.expected_sequence;
       BackOff(now);
@@ -96,7 +99,7 @@
 auto AppendBatcher::TakeWaiting() -> std::vector<SettledEntry> {
   std::vector<SettledEntry> taken;
   for (const auto& entry : waiting_) {
-    taken.push_back({entry.ticket, AppendFate::kNotStored});
+    taken.push_back({entry.ticket, EntryOutcome::kNotStored});
   }
   waiting_.clear();
   return taken;
@@ -109,9 +112,9 @@
 
 auto AppendBatcher::FillBatch(TimePoint now) -> void {
   std::size_t bytes = 0;
-  while (!waiting_.empty() && batch_.size() < options_.most_entries) {
+  while (!waiting_.empty() && batch_.size() < options_.max_entries) {
     bytes += waiting_.front().bytes;
-    if (!batch_.empty() && bytes > options_.most_bytes) {
+    if (!batch_.empty() && bytes > options_.max_bytes) {
       break;
     }
     batch_.push_back(std::move(waiting_.front()));
@@ -121,34 +124,34 @@
   first_sent_ = now;
 }
 
-auto AppendBatcher::Settle(AppendFate fate) -> std::vector<SettledEntry> {
+auto AppendBatcher::Settle(EntryOutcome outcome) -> std::vector<SettledEntry> {
   std::vector<SettledEntry> settled;
   for (const auto& entry : batch_) {
-    settled.push_back({entry.ticket, fate});
+    settled.push_back({entry.ticket, outcome});
   }
   batch_.clear();
   ++sequence_;
-  if (fate == AppendFate::kStored) {
+  if (outcome == EntryOutcome::kStored) {
     failures_ = 0;
-    refused_ = false;
+    rejected_ = false;
     not_before_ = TimePoint();
   }
   return settled;
 }
 
 auto AppendBatcher::BackOff(TimePoint now) -> void {
-  const int doublings = std::min(failures_, kMostDoublings);
+  const int doublings = std::min(failures_, kMaxDoublings);
   ++failures_;
-  const auto pause = options_.first_backoff * (1 << doublings);
-  not_before_ = now + std::min(pause, options_.longest_backoff);
+  const auto pause = options_.initial_backoff * (1 << doublings);
+  not_before_ = now + std::min(pause, options_.max_backoff);
 }
 
 auto AppendBatcher::Timeout() const -> std::chrono::milliseconds {
-  const int doublings = std::min(failures_, kMostDoublings);
+  const int doublings = std::min(failures_, kMaxDoublings);
   const auto usual = std::max(std::chrono::ceil<std::chrono::milliseconds>(
-                                  usual_answer_ * kTimeoutFactor),
-                              options_.shortest_timeout);
-  return std::min(usual * (1 << doublings), options_.longest_timeout);
+                                  smoothed_latency_ * kTimeoutFactor),
+                              options_.min_timeout);
+  return std::min(usual * (1 << doublings), options_.max_timeout);
 }
 
 }  // namespace rhubarbhaven::jobs
--- a/Source/Jobs/append_batcher.h
+++ b/Source/Jobs/append_batcher.h
@@ -12,7 +12,7 @@
 
 namespace rhubarbhaven::jobs {
 
-// One append as it is sent. The log drops a repeat of the same sequence.
+// One append request. The log discards a repeat of the same sequence number.
 struct AppendCall {
   std::string producer;
   uint64_t epoch = 0;
@@ -23,9 +23,9 @@
 
 enum class AppendOutcome {
   kAppended,
-  // Nothing was done, and nothing will be.
-  kRefused,
-  // Done, or not, or later.
+  // The append was not carried out and will not be.
+  kRejected,
+  // The append may have been carried out, or may still be carried out later.
   kUnknown,
   // A later epoch of the producer is in force.
   kFenced,
@@ -39,70 +39,71 @@
   uint64_t expected_sequence = 0;
 };
 
-// What became of an entry, by the ticket under which it was enqueued.
-enum class AppendFate {
+// The final outcome of an entry, identified by the ticket under which it was
+// enqueued.
+enum class EntryOutcome {
   kStored,
-  // Certainly not stored, now or later.
+  // The entry is not stored and will not be stored later.
   kNotStored,
 };
 
 struct SettledEntry {
   uint64_t ticket = 0;
-  AppendFate fate = AppendFate::kStored;
+  EntryOutcome outcome = EntryOutcome::kStored;
 };
 
 struct AppendBatcherOptions {
   std::string producer;
   uint64_t epoch = 1;
   uint64_t first_sequence = 1;
-  // True gives a refused batch back at once as not stored; false sends it
-  // again until it is stored.
-  bool give_back_refused = false;
-  std::size_t most_bytes = 1 << 20;
-  std::size_t most_entries = 512;
-  // The wait for an answer is four times the usual one, within these bounds,
-  // and twice as long after each failure. The shorter, the sooner a lost answer
-  // is asked for again; a log that is merely slow must not be asked twice each
-  // time.
-  std::chrono::milliseconds shortest_timeout{150};
-  std::chrono::milliseconds longest_timeout{2000};
-  // Pause after a refusal or a lost answer; doubles up to the longest.
-  std::chrono::milliseconds first_backoff{20};
-  std::chrono::milliseconds longest_backoff{300};
+  // If true, the entries of a rejected batch are settled at once as not stored.
+  // If false, the batch is retried until it is stored.
+  bool settle_rejected = false;
+  std::size_t max_bytes = 1 << 20;
+  std::size_t max_entries = 512;
+  // The timeout of a request is four times the smoothed response time, within
+  // these bounds, and doubles after each failure. A shorter timeout detects a
+  // lost response sooner, but a log that is merely slow must not receive each
+  // request twice.
+  std::chrono::milliseconds min_timeout{150};
+  std::chrono::milliseconds max_timeout{2000};
+  // Pause after a rejection or a lost response. It doubles up to the maximum.
+  std::chrono::milliseconds initial_backoff{20};
+  std::chrono::milliseconds max_backoff{300};
 };
 
-// Decides what one producer appends and when: entries are sent in batches, one
-// batch is under way at a time, and a batch whose answer was lost is sent again
-// under its sequence number until its fate is known. Pure: no I/O.
+// Decides what one producer appends and when. Entries are sent in batches, with
+// one batch in flight at a time. A batch whose response was lost is sent again
+// under its sequence number until its outcome is known. Performs no I/O.
 class AppendBatcher {
  public:
   explicit AppendBatcher(AppendBatcherOptions options);
 
   auto Enqueue(uint64_t ticket, std::vector<KeyedRecord> records) -> void;
-  // The batch to send now, if any. Its fate is reported by `OnResult`.
+  // The batch to send now, if any. `OnResult` reports its outcome.
   auto Next(TimePoint now) -> std::optional<AppendCall>;
   auto OnResult(TimePoint now, const AppendResult& result)
       -> std::vector<SettledEntry>;
-  // Entries that are not under way, given back as not stored.
+  // Removes the entries that are not in flight and returns them as not stored.
   auto TakeWaiting() -> std::vector<SettledEntry>;
 
   auto next_wake() const -> TimePoint;
   auto idle() const -> bool { return batch_.empty() && waiting_.empty(); }
-  // True while the log is taken to be away: the latest try was refused, or
-  // several in a row got no answer. A single lost answer is no outage.
+  // True while the log counts as unavailable: the latest attempt was rejected,
+  // or several in a row got no response. A single lost response is no outage.
   auto failing() const -> bool {
-    return refused_ || failures_ >= kUnansweredToFail;
+    return rejected_ || failures_ >= kUnansweredToBeFailing;
   }
-  // Whether an entry that is enqueued now is sent soon. While the log is away,
-  // one at a time is, to find out when it is back.
+  // Whether an entry that is enqueued now will be sent soon. While the log is
+  // unavailable, one entry at a time is sent to detect its recovery.
   auto accepts(TimePoint now) const -> bool {
     return !failing() || (idle() && now >= not_before_);
   }
-  // When the batch under way, or the latest one, was first sent.
+  // When the batch in flight, or the latest one, was first sent.
   auto first_sent() const -> TimePoint { return first_sent_; }
 
  private:
-  static constexpr int kUnansweredToFail = 3;
+  static constexpr int kUnansweredToBeFailing = 3;
 
   struct Entry {
     uint64_t ticket = 0;
@@ -111,7 +112,7 @@
   };
 
   auto FillBatch(TimePoint now) -> void;
-  auto Settle(AppendFate fate) -> std::vector<SettledEntry>;
+  auto Settle(EntryOutcome outcome) -> std::vector<SettledEntry>;
   auto BackOff(TimePoint now) -> void;
   auto Timeout() const -> std::chrono::milliseconds;
 
@@ -120,15 +121,15 @@
   std::vector<Entry> batch_;
   uint64_t sequence_;
   bool in_flight_ = false;
-  // A try of the batch may have reached the log.
+  // An attempt to send the batch may have reached the log.
   bool maybe_stored_ = false;
   bool fenced_ = false;
   int failures_ = 0;
-  bool refused_ = false;
+  bool rejected_ = false;
   TimePoint sent_at_;
   TimePoint first_sent_;
   TimePoint not_before_;
-  Duration usual_answer_ = std::chrono::milliseconds(10);
+  Duration smoothed_latency_ = std::chrono::milliseconds(10);
 };
 
 }  // namespace rhubarbhaven::jobs
--- a/Source/Jobs/entry_callers.cc
+++ b/Source/Jobs/entry_callers.cc
@@ -4,21 +4,21 @@
 
 #include "Jobs/entry_decisions.h"
 
-// What callers are told.
+// Answers to callers' requests.
 namespace rhubarbhaven::jobs {
 namespace {
 
-// Left of a caller's deadline for the way of its answer.
+// Part of a caller's deadline that is reserved for transmitting the response.
 constexpr std::chrono::milliseconds kAnswerMargin{300};
-// Cancellations of ids that the log has no job of, until they are dropped. Who
-// cancels what does not exist must not fill the log.
-constexpr std::size_t kMostCancelledAhead = 4096;
-constexpr char kLogAway[] = "The log cannot be read at present.";
+// Maximum number of cancellations for which the log has no job, until they are
+// removed. Cancelling jobs that do not exist must not fill the log.
+constexpr std::size_t kMaxCancelledAhead = 4096;
+constexpr char kLogUnavailable[] = "The log cannot be read at present.";
 
 auto NoSuchJobReply(bool certain) -> JobReply {
   return certain
              ? VerdictReply(JobVerdict::kNoSuchJob, "The log has no such job.")
-             : VerdictReply(JobVerdict::kUnavailable, kLogAway);
+             : VerdictReply(JobVerdict::kUnavailable, kLogUnavailable);
 }
 
 }  // namespace
@@ -35,11 +35,13 @@
   const auto* queue = queues_.Match(call.host, call.path);
   const std::string id =
       queue == nullptr ? "" : call.path.substr(queue->path_prefix.size());
-  // What is no id may be one below the prefix of a queue that is new.
+  // A path that does not end in an id may belong to a new queue whose prefix is
+  // longer.
   const bool matches = queue != nullptr && (id.empty() || CheckJobId(id).ok());
-  if (!matches && !operator_follower_.CaughtUpWithin(now, kCurrentFor)) {
-    respond(VerdictReply(JobVerdict::kUnavailable,
-                         "The configuration may have changed."));
+  if (!matches && !operator_follower_.CaughtUpWithin(now, kCurrentReadAge)) {
+    respond(
+        VerdictReply(JobVerdict::kUnavailable,
+                     "The local copy of the configuration may be outdated."));
     return;
   }
   if (queue == nullptr) {
@@ -52,28 +54,28 @@
                          "path."));
     return;
   }
-  const TimePoint give_up_at = now + call.deadline - kAnswerMargin;
+  const TimePoint expires_at = now + call.deadline - kAnswerMargin;
   switch (call.kind) {
     case JobCallKind::kSubmit:
       Submit(now, *queue, id, std::move(call), respond);
       return;
     case JobCallKind::kCancel:
-      Cancel(now, id, give_up_at, respond);
+      Cancel(now, id, expires_at, respond);
       return;
-    case JobCallKind::kAsk:
+    case JobCallKind::kQuery:
       break;
   }
   if (id.empty()) {
     JobReply reply;
     reply.verdict = JobVerdict::kPending;
     reply.pending = fold_.PendingIn(queue->name);
-    if (!job_follower_.CaughtUpWithin(now, kCurrentFor)) {
-      reply = VerdictReply(JobVerdict::kUnavailable, kLogAway);
+    if (!job_follower_.CaughtUpWithin(now, kCurrentReadAge)) {
+      reply = VerdictReply(JobVerdict::kUnavailable, kLogUnavailable);
     }
     respond(reply);
     return;
   }
-  Ask(now, id, give_up_at, respond);
+  Query(now, id, expires_at, respond);
 }
 
 auto EntryDecisions::Submit(TimePoint now,
@@ -101,14 +103,14 @@
   }
   const auto record = MakeRecord(RecordKind::kJob, id, call.job);
   Store(now,
-        {SubmissionKind::kHandIn, id, queue.name, respond, now,
+        {SubmissionKind::kSubmitJob, id, queue.name, respond, now,
          now + call.deadline - kAnswerMargin},
         record);
 }
 
 auto EntryDecisions::Cancel(TimePoint now,
                             const std::string& id,
-                            TimePoint give_up_at,
+                            TimePoint expires_at,
                             const JobResponder& respond) -> void {
   const auto* entry = fold_.Find(id);
   if (entry != nullptr && entry->over()) {
@@ -120,32 +122,34 @@
   if (entry != nullptr) {
     Store(now,
           {SubmissionKind::kCancel, id, entry->job.queue(), respond, now,
-           give_up_at},
+           expires_at},
           MakeCancellation(id));
     return;
   }
   if (!CheckJobId(id).ok()) {
-    respond(VerdictReply(JobVerdict::kNoSuchJob, "No job has such an id."));
+    respond(
+        VerdictReply(JobVerdict::kNoSuchJob, "The id is not a valid job id."));
     return;
   }
-  // Its hand-in may be in the log already, or on its way there from any entry.
+  // The job's submission may already be in the log, or in transit from any
+  // entry.
   const Submission ahead{
-      SubmissionKind::kCancelAhead, id, "", respond, now, give_up_at};
+      SubmissionKind::kCancelAhead, id, "", respond, now, expires_at};
   if (fold_.CancelledAhead(id)) {
     AnswerCancelAhead(now, ahead);
-  } else if (fold_.cancelled_ahead().size() < kMostCancelledAhead) {
+  } else if (fold_.cancelled_ahead().size() < kMaxCancelledAhead) {
     Store(now, ahead, MakeCancellation(id));
   } else {
-    CancelIfThere(now, ahead);
+    CancelIfFound(now, ahead);
   }
 }
 
 auto EntryDecisions::AnswerCancelAhead(TimePoint now,
                                        const Submission& submission) -> void {
   job_barrier_.Await(
-      now, submission.give_up_at,
+      now, submission.expires_at,
       [this, submission](TimePoint, bool current) -> void {
-        // If that is not certain, the cancel holds all the same.
+        // The cancellation applies even if this is uncertain.
         const bool none = current && fold_.Find(submission.job) == nullptr;
         log_.Write(none ? "cancelled_ahead" : "cancelled",
                    {{"job", submission.job}});
@@ -154,13 +158,13 @@
       });
 }
 
-auto EntryDecisions::CancelIfThere(TimePoint now, const Submission& submission)
+auto EntryDecisions::CancelIfFound(TimePoint now, const Submission& submission)
     -> void {
   metrics_->Add("rhubarbhaven_cancels_not_stored_total");
-  job_barrier_.Await(now, submission.give_up_at,
+  job_barrier_.Await(now, submission.expires_at,
                      [this, submission](TimePoint then, bool current) -> void {
                        if (fold_.Find(submission.job) != nullptr) {
-                         Cancel(then, submission.job, submission.give_up_at,
+                         Cancel(then, submission.job, submission.expires_at,
                                 submission.respond);
                        } else {
                          submission.respond(NoSuchJobReply(current));
@@ -168,16 +172,16 @@
                      });
 }
 
-auto EntryDecisions::Ask(TimePoint now,
-                         const std::string& id,
-                         TimePoint give_up_at,
-                         const JobResponder& respond) -> void {
+auto EntryDecisions::Query(TimePoint now,
+                           const std::string& id,
+                           TimePoint expires_at,
+                           const JobResponder& respond) -> void {
   const auto* entry = fold_.Find(id);
   if (entry != nullptr) {
     respond(StateReply(entry->state()));
     return;
   }
-  job_barrier_.Await(now, give_up_at,
+  job_barrier_.Await(now, expires_at,
                      [this, id, respond](TimePoint, bool current) -> void {
                        const auto* found = fold_.Find(id);
                        respond(found != nullptr ? StateReply(found->state())
@@ -189,9 +193,9 @@
                            Submission submission,
                            KeyedRecord record) -> void {
   if (!caller_appends_.accepts(now) || releasing_) {
-    // Nothing was sent, so this is certainly not stored.
-    Refuse(submission,
-           releasing_ ? "this entry is stopping" : "the log does not answer");
+    // Nothing was sent, so the record is certainly not stored.
+    Reject(submission,
+           releasing_ ? "this entry is stopping" : "the log does not respond");
     return;
   }
   const uint64_t ticket = next_ticket_++;
@@ -199,30 +203,30 @@
   caller_appends_.Enqueue(ticket, {std::move(record)});
 }
 
-auto EntryDecisions::Refuse(const Submission& submission,
+auto EntryDecisions::Reject(const Submission& submission,
                             const std::string& why) -> void {
   metrics_->Add("rhubarbhaven_jobs_refused_total");
   log_.Write(
       "refused",
       {{"job", submission.job},
        {"queue", submission.queue},
-       {"cancel", submission.kind == SubmissionKind::kHandIn ? "" : "yes"},
+       {"cancel", submission.kind == SubmissionKind::kSubmitJob ? "" : "yes"},
        {"why", why}});
   submission.respond(VerdictReply(JobVerdict::kUnavailable, why));
 }
 
-auto EntryDecisions::GiveUpLate(TimePoint now) -> void {
+auto EntryDecisions::ExpireSubmissions(TimePoint now) -> void {
   for (auto item = submissions_.begin(); item != submissions_.end();) {
-    if (now < item->second.give_up_at) {
+    if (now < item->second.expires_at) {
       ++item;
       continue;
     }
     metrics_->Add("rhubarbhaven_jobs_unknown_total");
     log_.Write("fate_unknown",
                {{"job", item->second.job},
-                {"why", "the log did not answer within the deadline"}});
+                {"why", "the log did not respond within the deadline"}});
     item->second.respond(VerdictReply(
-        JobVerdict::kUnknown, "The log did not answer within the deadline."));
+        JobVerdict::kUnknown, "The log did not respond within the deadline."));
     item = submissions_.erase(item);
   }
 }
--- a/Source/Jobs/entry_decisions.cc
+++ b/Source/Jobs/entry_decisions.cc
@@ -9,17 +9,18 @@
 namespace rhubarbhaven::jobs {
 namespace {
 
-// An entry whose read of the log has not been answered for this long is not
-// ready: a read waits a second for a record, and gets its time for the way.
-constexpr std::chrono::milliseconds kReadyFor{2500};
-// The election and the readiness look at the time at least this often.
-constexpr std::chrono::milliseconds kLookInterval{100};
+// An entry is not ready if its read of the log has not been answered for this
+// long. A read waits up to one second for a record, and the rest is for
+// transmission.
+constexpr std::chrono::milliseconds kReadyReadAge{2500};
+// Maximum interval between two checks of the election and the readiness.
+constexpr std::chrono::milliseconds kMaxTickInterval{100};
 
 auto CallerAppendOptions(const EntryOptions& options) -> AppendBatcherOptions {
   AppendBatcherOptions appends;
   appends.producer =
       absl::StrCat("entry-", options.name, "-", options.incarnation);
-  appends.give_back_refused = true;
+  appends.settle_rejected = true;
   return appends;
 }
 
@@ -61,12 +62,13 @@
       operator_follower_(FollowerOptions(LogTopic::kOperators),
                          hooks_.log,
                          FollowerHooksFor(LogTopic::kOperators)),
-      job_barrier_(
-          {hooks_.log.read,
-           [this]() -> std::optional<uint64_t> {
-             return job_follower_.read_to();
-           },
-           [this](TimePoint now) -> void { job_follower_.ReadOn(now); }}),
+      job_barrier_({hooks_.log.read,
+                    [this]() -> std::optional<uint64_t> {
+                      return job_follower_.read_to();
+                    },
+                    [this](TimePoint now) -> void {
+                      job_follower_.ResumeReading(now);
+                    }}),
       caller_appends_(CallerAppendOptions(options_)) {}
 
 EntryDecisions::~EntryDecisions() = default;
@@ -88,8 +90,9 @@
                               AgentReport report) -> void {
   metrics_->Add("rhubarbhaven_agent_reports_total");
   if (!queues_.MayUseService(report.service())) {
-    // A worker whose service is none gets no tasks, also of a job whose queue
-    // named that service once. What it runs and has ended counts.
+    // A worker of a service that is not configured gets no tasks, not even of a
+    // job whose queue named that service earlier. Its running tasks and task
+    // ends still count.
     report.clear_service();
   }
   if (!owner_.OnReport(now, agent, report)) {
@@ -98,10 +101,10 @@
 }
 
 auto EntryDecisions::Tick(TimePoint now) -> void {
-  looked_at_ = now;
-  while (!later_.empty() && later_.begin()->first <= now) {
-    const auto job = std::move(later_.begin()->second);
-    later_.erase(later_.begin());
+  last_tick_ = now;
+  while (!scheduled_.empty() && scheduled_.begin()->first <= now) {
+    const auto job = std::move(scheduled_.begin()->second);
+    scheduled_.erase(scheduled_.begin());
     job(now);
   }
   if (owner_.active() && !election_.owner(now)) {
@@ -110,15 +113,15 @@
   ClaimIfDue(now);
   owner_.Tick(now);
   job_barrier_.Tick(now);
-  GiveUpLate(now);
+  ExpireSubmissions(now);
   UpdateReady(now);
   SendAppends(now);
 }
 
 auto EntryDecisions::next_wake() const -> TimePoint {
-  TimePoint wake = looked_at_ + kLookInterval;
-  if (!later_.empty()) {
-    wake = std::min(wake, later_.begin()->first);
+  TimePoint wake = last_tick_ + kMaxTickInterval;
+  if (!scheduled_.empty()) {
+    wake = std::min(wake, scheduled_.begin()->first);
   }
   wake = std::min({wake, owner_.next_wake(), caller_appends_.next_wake(),
                    job_barrier_.next_wake()});
@@ -131,9 +134,9 @@
 auto EntryDecisions::FollowerHooksFor(LogTopic topic) -> KeyedLogFollowerHooks {
   const bool is_jobs = topic == LogTopic::kJobs;
   KeyedLogFollowerHooks hooks;
-  hooks.at = [this](TimePoint when,
-                    std::function<auto(TimePoint)->void> job) -> void {
-    later_.emplace(when, std::move(job));
+  hooks.schedule = [this](TimePoint when,
+                          std::function<auto(TimePoint)->void> job) -> void {
+    scheduled_.emplace(when, std::move(job));
   };
   hooks.on_record = [this, is_jobs](TimePoint now,
                                     const KeyedRecord& record) -> void {
@@ -143,23 +146,23 @@
       OnOperatorRecord(record);
     }
   };
-  hooks.on_begin_anew = [this, is_jobs]() -> void {
+  hooks.on_restart = [this, is_jobs]() -> void {
     if (is_jobs) {
       fold_current_ = false;
       owner_.OnReadAnew();
     }
   };
-  hooks.on_key_gone = [this, is_jobs](TimePoint now,
-                                      const std::string& key) -> void {
+  hooks.on_key_removed = [this, is_jobs](TimePoint now,
+                                         const std::string& key) -> void {
     if (is_jobs) {
       OnJobRecord(now, {key, "", 0});
     } else {
       OnOperatorRecord({key, "", 0});
     }
   };
-  hooks.on_caught_up = [this, is_jobs](TimePoint now, TimePoint shown) -> void {
+  hooks.on_caught_up = [this, is_jobs](TimePoint now, TimePoint as_of) -> void {
     if (is_jobs) {
-      OnCaughtUp(now, shown);
+      OnCaughtUp(now, as_of);
     }
   };
   if (is_jobs) {
@@ -181,10 +184,11 @@
   const uint64_t claim_before = fold_.claim_at();
   const bool any_before = fold_.claim().fence() != 0;
   const auto change = fold_.Apply(record);
-  if (!change.passed_over.empty()) {
-    NotePassedOver(now, record, change.passed_over);
+  if (!change.skipped_reason.empty()) {
+    NoteSkippedRecord(now, record, change.skipped_reason);
   }
-  // Read anew, the newest claim is no sign of life.
+  // If the newest claim was only re-read, it is no evidence that the owner is
+  // alive.
   const bool is_new = !any_before || fold_.claim_at() != claim_before;
   if (change.kind == RecordKind::kClaim && is_new) {
     election_.OnClaimRead(now, fold_.claim());
@@ -198,12 +202,12 @@
   owner_.OnChange(now, change);
 }
 
-auto EntryDecisions::NotePassedOver(TimePoint now,
-                                    const KeyedRecord& record,
-                                    const std::string& why) -> void {
+auto EntryDecisions::NoteSkippedRecord(TimePoint now,
+                                       const KeyedRecord& record,
+                                       const std::string& why) -> void {
   metrics_->Add("rhubarbhaven_records_passed_over_total");
-  // Read again and again while it stays in the log.
-  if (passed_over_.IsNew(now, record.key, why)) {
+  // The record may be re-read many times while it is in the log.
+  if (skipped_records_.IsNew(now, record.key, why)) {
     log_.Write("record_passed_over", {{"key", ForLog(record.key)},
                                       {"offset", absl::StrCat(record.offset)},
                                       {"why", ForLog(why)}});
@@ -242,11 +246,12 @@
   owner_.OnEvacuations();
 }
 
-auto EntryDecisions::OnCaughtUp(TimePoint now, TimePoint shown) -> void {
+auto EntryDecisions::OnCaughtUp(TimePoint now, TimePoint as_of) -> void {
   fold_current_ = true;
-  election_.OnCaughtUp(now, shown);
+  election_.OnCaughtUp(now, as_of);
   if (!has_caught_up_) {
-    // The process before this one may have been the owner of an earlier claim.
+    // The previous process of this entry may have been the owner under an
+    // earlier claim.
     has_caught_up_ = true;
     const auto& claim = fold_.claim();
     resigned_fence_ = claim.owner() == options_.name ? 0 : claim.fence();
@@ -282,14 +287,14 @@
   }
   auto settled = caller_appends_.OnResult(now, result);
   if (caller_appends_.failing()) {
-    // The log is away: who waits is told at once, while it is certain that
-    // nothing of it was sent.
+    // The log is unavailable. Waiting callers are notified at once, while it is
+    // certain that nothing of theirs was sent.
     const auto waiting = caller_appends_.TakeWaiting();
     settled.insert(settled.end(), waiting.begin(), waiting.end());
   }
   for (const auto& entry : settled) {
     if (entry.ticket == kResignationTicket) {
-      OnResignationSettled(entry.fate);
+      OnResignationOutcome(entry.outcome);
       continue;
     }
     const auto found = submissions_.find(entry.ticket);
@@ -298,8 +303,8 @@
     }
     const Submission submission = std::move(found->second);
     submissions_.erase(found);
-    if (entry.fate == AppendFate::kNotStored) {
-      Refuse(submission, "the log refused it");
+    if (entry.outcome == EntryOutcome::kNotStored) {
+      Reject(submission, "the log rejected the record");
       continue;
     }
     metrics_->RecordLatency("rhubarbhaven_store_seconds",
@@ -317,13 +322,13 @@
 }
 
 auto EntryDecisions::UpdateReady(TimePoint now) -> void {
-  // The balancer sends callers to the entries of other failure domains as soon
-  // as this one is not ready. Often only some entries lose the log; a caller
-  // would use up its retries at one of them.
+  // The load balancer sends callers to entries of other failure domains as soon
+  // as this one is not ready. Often only some entries are disconnected from the
+  // log, and a caller would exhaust its retries at one of them.
   ready_ = !releasing_ && queues_.known() && job_follower_.reachable() &&
            !caller_appends_.failing() &&
-           job_follower_.CaughtUpWithin(now, kReadyFor) &&
-           operator_follower_.CaughtUpWithin(now, kReadyFor);
+           job_follower_.CaughtUpWithin(now, kReadyReadAge) &&
+           operator_follower_.CaughtUpWithin(now, kReadyReadAge);
 }
 
 auto EntryDecisions::NoteLag(Duration lag) -> void {
@@ -337,7 +342,7 @@
   }
 }
 
-auto EntryDecisions::LogCensus(const CensusState& state) -> void {
+auto EntryDecisions::LogReconciliation(const CensusState& state) -> void {
   if (state.done) {
     metrics_->RecordLatency("rhubarbhaven_census_seconds", state.waited);
   }
@@ -350,7 +355,7 @@
               {"names", absl::StrJoin(state.missing_names, " ")}});
 }
 
-auto EntryDecisions::LogStanding(const StandingJob& job) -> void {
+auto EntryDecisions::LogStarvedJob(const StandingJob& job) -> void {
   log_.Write("stands",
              {{"job", job.task.job()},
               {"task", DescribeTask(job.task)},
@@ -358,7 +363,7 @@
               {"waited_ms", InMilliseconds(job.waited)},
               {"why", job.why},
               {"log_age_ms",
-               InMilliseconds(looked_at_ - job_follower_.caught_up_at())},
+               InMilliseconds(last_tick_ - job_follower_.caught_up_at())},
               {"oldest_report_ms", InMilliseconds(job.oldest_report)}});
 }
 
@@ -394,10 +399,10 @@
                {{"agent", agent}, {"fence", absl::StrCat(election_.fence())}});
   };
   hooks.log_census = [this](const CensusState& state) -> void {
-    LogCensus(state);
+    LogReconciliation(state);
   };
   hooks.log_standing = [this](const StandingJob& job) -> void {
-    LogStanding(job);
+    LogStarvedJob(job);
   };
   hooks.note_standing = [this](std::size_t jobs) -> void {
     metrics_->SetGauge("rhubarbhaven_standing_jobs", static_cast<double>(jobs));
@@ -410,7 +415,9 @@
   hooks.is_evacuated = [this](const std::string& failure_domain) -> bool {
     return evacuated_domains_.contains(failure_domain);
   };
-  hooks.alone_until = [this]() -> TimePoint { return election_.alone_until(); };
+  hooks.exclusive_until = [this]() -> TimePoint {
+    return election_.exclusive_until();
+  };
   hooks.wall_clock = hooks_.wall_clock;
   hooks.ask_advice = hooks_.ask_advice;
   return hooks;
--- a/Source/Jobs/entry_decisions.h
+++ b/Source/Jobs/entry_decisions.h
@@ -24,34 +24,36 @@
 namespace rhubarbhaven::jobs {
 
 struct EntryOptions {
-  // This entry, unique in the deployment.
+  // Name of this entry, unique in the deployment.
   std::string name;
   uint64_t incarnation = 0;
 };
 
 struct EntryHooks {
-  // Answers on the thread of the decisions.
+  // Calls back on the thread of the decisions.
   KeyedLogPort log;
-  // Over the link, to an agent.
+  // Sends orders to an agent over the link.
   std::function<auto(const std::string& link_endpoint, AgentOrders)->void> send;
-  // Whether a link can be made to an agent's endpoint; null if to any.
+  // Whether a link can be opened to an agent's endpoint. If null, every
+  // endpoint is accepted.
   IsLinkEndpoint is_link_endpoint;
-  // Since 1970.
+  // Time since 1970.
   std::function<auto()->std::chrono::milliseconds> wall_clock;
-  // The policy that gives tickets; answers on the thread of the decisions.
+  // Requests a ticket from the admission policy; calls back on the thread of
+  // the decisions.
   AskAdvice ask_advice;
-  // Reads one record of the operators' log; null if it is no configuration.
+  // Parses one record of the operators' log; null if it is not a configuration.
   std::function<auto(const KeyedRecord&)->std::optional<QueueConfiguration>>
       read_configuration;
-  // The failure domain that a record with this key of the operators' log has
-  // evacuated for as long as the record is there; null if it is another record.
+  // The failure domain that is evacuated for as long as the operators' log has
+  // a record with this key; null if the record is of another kind.
   std::function<auto(const std::string& key)->std::optional<std::string>>
       evacuated_domain;
 };
 
-// What an entry on the platform decides: it answers callers about jobs from the
-// fold of the log, stores what they hand in, and decides for the cell while it
-// owns it.
+// The decisions of an entry on the platform. It answers callers' requests about
+// jobs from the fold of the log, stores the jobs that they submit, and decides
+// for the cell while it owns it.
 class EntryDecisions {
  public:
   EntryDecisions(EntryOptions options, EntryHooks hooks, Metrics* metrics);
@@ -60,45 +62,46 @@
   ~EntryDecisions();
 
   auto Start() -> void;
-  // Answers once.
+  // Calls `respond` exactly once.
   auto Call(TimePoint now, JobCall call, const JobResponder& respond) -> void;
   auto OnReport(TimePoint now, const std::string& agent, AgentReport report)
       -> void;
-  // Gives the ownership up, so that another entry takes over at once.
+  // Releases the ownership, so that another entry takes over at once.
   auto Release(TimePoint now) -> void;
   auto Tick(TimePoint now) -> void;
   auto next_wake() const -> TimePoint;
 
-  // Whether callers are served: a configuration is known and the log is read.
+  // Whether callers can be served: a configuration is known, and the log is
+  // being read.
   auto ready() const -> bool { return ready_; }
   auto owner() const -> const JobOwner& { return owner_; }
-  // Of this entry's claim; zero if it has none.
+  // Fence of this entry's claim; zero if it has none.
   auto fence() const -> uint64_t { return election_.fence(); }
   auto fold() const -> const JobFold& { return fold_; }
 
  private:
-  // Of the entry's own appends; those of callers count upward.
+  // Ticket of the entry's own appends. Those of callers count upward from 1.
   static constexpr uint64_t kResignationTicket =
       std::numeric_limits<uint64_t>::max();
 
-  // A copy of a log counts as current for this long after a read that reached
-  // the end.
-  static constexpr std::chrono::milliseconds kCurrentFor{2000};
+  // The local copy of a log counts as current for this long after a read that
+  // reached the end.
+  static constexpr std::chrono::milliseconds kCurrentReadAge{2000};
 
   enum class SubmissionKind {
-    kHandIn,
+    kSubmitJob,
     kCancel,
-    // Of an id that this entry's copy of the log does not have.
+    // The local copy of the log has no job with this id.
     kCancelAhead,
   };
 
   struct Submission {
-    SubmissionKind kind = SubmissionKind::kHandIn;
+    SubmissionKind kind = SubmissionKind::kSubmitJob;
     std::string job;
     std::string queue;
     JobResponder respond;
     TimePoint received;
-    TimePoint give_up_at;
+    TimePoint expires_at;
   };
 
   auto Handle(TimePoint now, JobCall call, const JobResponder& respond) -> void;
@@ -109,28 +112,28 @@
               const JobResponder& respond) -> void;
   auto Cancel(TimePoint now,
               const std::string& id,
-              TimePoint give_up_at,
+              TimePoint expires_at,
               const JobResponder& respond) -> void;
-  // Answers a cancel that is in the log, of a job that was not known.
+  // Responds to a stored cancellation whose job was not known.
   auto AnswerCancelAhead(TimePoint now, const Submission& submission) -> void;
-  // Cancels a job that is not known only if the log has it.
-  auto CancelIfThere(TimePoint now, const Submission& submission) -> void;
-  auto Ask(TimePoint now,
-           const std::string& id,
-           TimePoint give_up_at,
-           const JobResponder& respond) -> void;
+  // Cancels an unknown job only if the log turns out to contain it.
+  auto CancelIfFound(TimePoint now, const Submission& submission) -> void;
+  auto Query(TimePoint now,
+             const std::string& id,
+             TimePoint expires_at,
+             const JobResponder& respond) -> void;
   auto Store(TimePoint now, Submission submission, KeyedRecord record) -> void;
-  auto GiveUpLate(TimePoint now) -> void;
-  auto Refuse(const Submission& submission, const std::string& why) -> void;
+  auto ExpireSubmissions(TimePoint now) -> void;
+  auto Reject(const Submission& submission, const std::string& why) -> void;
 
   auto FollowerHooksFor(LogTopic topic) -> KeyedLogFollowerHooks;
   auto OnJobRecord(TimePoint now, const KeyedRecord& record) -> void;
-  auto NotePassedOver(TimePoint now,
-                      const KeyedRecord& record,
-                      const std::string& why) -> void;
+  auto NoteSkippedRecord(TimePoint now,
+                         const KeyedRecord& record,
+                         const std::string& why) -> void;
   auto OnOperatorRecord(const KeyedRecord& record) -> void;
   auto OnEvacuation(const std::string& failure_domain, bool in_force) -> void;
-  auto OnCaughtUp(TimePoint now, TimePoint shown) -> void;
+  auto OnCaughtUp(TimePoint now, TimePoint as_of) -> void;
 
   auto SendAppends(TimePoint now) -> void;
   auto SendCallerBatch(TimePoint now) -> void;
@@ -139,25 +142,27 @@
   auto OnOwnerBatch(TimePoint now, uint64_t fence, const AppendResult& result)
       -> void;
   auto ClaimIfDue(TimePoint now) -> void;
-  // Says in the log if this owner begins or ceases to read too late to stay
-  // one.
+  // Logs a line when this owner begins or ceases to read too late to remain the
+  // owner.
   auto NoteReadsLate(TimePoint now, bool late) -> void;
-  // Before this entry reads the log on.
+  // Pause before this entry's next read of the log.
   auto ReadPause() const -> std::chrono::milliseconds;
   auto BecomeOwnerIfClaimed(TimePoint now) -> void;
   auto Resign(const std::string& why) -> void;
-  // Lets go of a claim that is not in the log. Nothing was granted under it.
+  // Withdraws a claim that is not stored in the log. Nothing was granted under
+  // it.
   auto WithdrawClaim(const std::string& why) -> void;
-  // Says in the log that no process of this entry is an owner any more, so that
-  // the owner in office needs not wait as for one that is only cut off.
+  // Appends a record which states that no process of this entry is an owner any
+  // more. The current owner then need not wait as it would for an owner that is
+  // only disconnected.
   auto WriteResignation(TimePoint now) -> void;
-  auto OnResignationSettled(AppendFate fate) -> void;
+  auto OnResignationOutcome(EntryOutcome outcome) -> void;
   auto OnResignationRead(TimePoint now, const std::string& entry) -> void;
   auto UpdateReady(TimePoint now) -> void;
   auto MakeOwnerHooks() -> JobOwnerHooks;
   auto NoteLag(Duration lag) -> void;
-  auto LogCensus(const CensusState& state) -> void;
-  auto LogStanding(const StandingJob& job) -> void;
+  auto LogReconciliation(const CensusState& state) -> void;
+  auto LogStarvedJob(const StandingJob& job) -> void;
   auto LogDecision(const OwnerDecision& decision) -> void;
 
   EntryOptions options_;
@@ -167,12 +172,12 @@
   bool ready_ = false;
 
   JobFold fold_;
-  ComplaintBook passed_over_;
-  // The fold holds everything up to some place in the log.
+  ComplaintBook skipped_records_;
+  // The fold contains all records up to some offset of the log.
   bool fold_current_ = false;
   QueueDirectory queues_;
   std::set<std::string> evacuated_domains_;
-  // As the latest claim says.
+  // Whether the latest claim states that this owner reads too late.
   bool reads_late_ = false;
   OwnerElection election_;
   LagWatch owner_lag_;
@@ -180,24 +185,24 @@
   KeyedLogFollower job_follower_;
   KeyedLogFollower operator_follower_;
   ReadBarrier job_barrier_;
-  std::multimap<TimePoint, std::function<auto(TimePoint)->void>> later_;
+  std::multimap<TimePoint, std::function<auto(TimePoint)->void>> scheduled_;
 
   AppendBatcher caller_appends_;
   std::map<uint64_t, Submission> submissions_;
   uint64_t next_ticket_ = 1;
-  // Made anew for each claim; null while this entry claims nothing.
+  // Created for each claim; null while this entry has no claim.
   std::unique_ptr<AppendBatcher> owner_appends_;
-  // Of the newest claim that this entry has made, until it knows that it is not
-  // the owner any more.
+  // Fence of this entry's newest claim, until the entry has established that it
+  // is no longer the owner.
   uint64_t claimed_fence_ = 0;
-  // Up to which fence no process of this entry grants anything any more, and up
-  // to which the log has been told so.
+  // The highest fence under which no process of this entry grants anything
+  // more, and the highest one for which a resignation was appended.
   uint64_t resigned_fence_ = 0;
-  uint64_t resignation_told_ = 0;
-  // The log has been read to its end once.
+  uint64_t resignation_logged_ = 0;
+  // Whether the log has been read to its end once.
   bool has_caught_up_ = false;
   bool releasing_ = false;
-  TimePoint looked_at_;
+  TimePoint last_tick_;
 };
 
 }  // namespace rhubarbhaven::jobs
--- a/Source/Jobs/entry_ownership.cc
+++ b/Source/Jobs/entry_ownership.cc
@@ -5,7 +5,7 @@
 
 #include "Jobs/entry_decisions.h"
 
-// How an entry claims the cell, holds its claim, and gives it up.
+// Claiming the cell, renewing the claim, and releasing it.
 namespace rhubarbhaven::jobs {
 namespace {
 
@@ -13,13 +13,15 @@
 constexpr uint64_t kClaimTicket = 1;
 constexpr uint64_t kBatchTicket = 2;
 constexpr char kOwnerProducer[] = "owner";
-// An append that was lost as the log went away is sent again so soon after it
-// is back that the owner's renewals are missed by nobody.
-constexpr std::chrono::milliseconds kLongestOwnerTimeout{800};
-// Between two reads of an entry that is not the owner: each append wakes the
-// reads of all entries. Callers are told what is up to so much older. Entries
-// differ, so that one of them soon reads that the owner has stopped.
-constexpr std::chrono::milliseconds kShortestReadPause{50};
+// Maximum timeout of the owner's appends. An append that was lost when the log
+// became unavailable is repeated soon enough after its recovery that no entry
+// detects a missing renewal.
+constexpr std::chrono::milliseconds kMaxOwnerTimeout{800};
+// Pause between two reads by an entry that is not the owner: each append wakes
+// up the pending reads of all entries. Callers may get answers that are older
+// by up to this pause. The pauses of entries differ, so that one of them soon
+// detects that the owner has stopped.
+constexpr std::chrono::milliseconds kMinReadPause{50};
 constexpr std::chrono::milliseconds kReadPauseSpread{60};
 
 }  // namespace
@@ -28,20 +30,21 @@
   if (releasing_) {
     return;
   }
-  if (election_.ClaimIsGroundless(now)) {
-    WithdrawClaim("reads of the log no longer show that the owner is silent");
+  if (election_.ClaimIsUnjustified(now)) {
+    WithdrawClaim("reads of the log no longer show a missing renewal");
   }
   const bool had_claim = election_.fence() != 0;
-  if (!had_claim && !operator_follower_.CaughtUpWithin(now, kCurrentFor)) {
-    // It could not begin, or would decide by rules that are no longer in force,
-    // and keep those out that can.
+  if (!had_claim && !operator_follower_.CaughtUpWithin(now, kCurrentReadAge)) {
+    // Without a current copy of the operators' log, this entry could not begin,
+    // or would decide by rules that are no longer in force, and would keep out
+    // the entries that have one.
     return;
   }
   auto claim = election_.ClaimDue(now);
   if (!claim) {
     return;
   }
-  if (had_claim && !operator_follower_.CaughtUpWithin(now, kCurrentFor)) {
+  if (had_claim && !operator_follower_.CaughtUpWithin(now, kCurrentReadAge)) {
     claim->set_reads_nothing(true);
   }
   NoteReadsLate(now, claim->reads_nothing());
@@ -52,15 +55,16 @@
     AppendBatcherOptions options;
     options.producer = kOwnerProducer;
     options.epoch = claim->fence();
-    options.longest_timeout = kLongestOwnerTimeout;
-    // Two claims of the same fence must not be taken for repeats of one append.
+    options.max_timeout = kMaxOwnerTimeout;
+    // Two claims with the same fence must not be treated as repeats of one
+    // append.
     options.first_sequence =
         1 + StableHash(options_.name, options_.incarnation) % (1ULL << 40);
     owner_appends_ = std::make_unique<AppendBatcher>(options);
   }
   owner_appends_->Enqueue(kClaimTicket,
                           {MakeRecord(RecordKind::kClaim, "", *claim)});
-  job_follower_.ReadOn(now);
+  job_follower_.ResumeReading(now);
 }
 
 auto EntryDecisions::NoteReadsLate(TimePoint now, bool late) -> void {
@@ -78,18 +82,18 @@
 auto EntryDecisions::ReadPause() const -> std::chrono::milliseconds {
   if (election_.fence() != 0 || election_.owner_is_late()) {
     // The owner starts jobs that others accept, a claimant has to read its
-    // claim, and whoever may soon be one has to see how long the owner is
-    // silent.
+    // claim, and a potential claimant has to detect missing renewals of the
+    // owner.
     return std::chrono::milliseconds(0);
   }
   const auto part = StableHash(options_.name, 0) %
                     static_cast<uint64_t>(kReadPauseSpread.count());
-  return kShortestReadPause + std::chrono::milliseconds(part);
+  return kMinReadPause + std::chrono::milliseconds(part);
 }
 
 auto EntryDecisions::BecomeOwnerIfClaimed(TimePoint now) -> void {
-  // Not while records are missing: of a task whose end is in the log an owner
-  // that began without it would start another run.
+  // An owner that began with records missing would start another run of a task
+  // whose end is already in the log.
   if (owner_.active() || releasing_ || !fold_current_ ||
       !election_.owner(now)) {
     return;
@@ -97,7 +101,7 @@
   log_.Write("owner_begin", {{"fence", absl::StrCat(election_.fence())},
                              {"agents", absl::StrCat(fold_.agents().size())}});
   metrics_->Add("rhubarbhaven_owner_terms_total");
-  // It may have resigned before this claim was made.
+  // The replaced owner may have resigned before this claim was made.
   OnResignationRead(now, election_.replaced_owner());
   owner_.Begin(now, election_.fence(), &fold_, election_.earlier_grants());
 }
@@ -127,7 +131,7 @@
                                   const AppendResult& result) -> void {
   if (owner_appends_ == nullptr ||
       (fence != election_.fence() && !releasing_)) {
-    // The answer to an append under an earlier claim.
+    // The response belongs to an append under an earlier claim.
     return;
   }
   const bool lost_claim =
@@ -170,11 +174,11 @@
     resigned_fence_ = std::max(resigned_fence_, claimed_fence_);
     claimed_fence_ = 0;
   }
-  if (resigned_fence_ <= resignation_told_ || releasing_ || !fold_current_ ||
+  if (resigned_fence_ <= resignation_logged_ || releasing_ || !fold_current_ ||
       !job_follower_.reachable() || !caller_appends_.accepts(now)) {
     return;
   }
-  resignation_told_ = resigned_fence_;
+  resignation_logged_ = resigned_fence_;
   OwnerResignation resignation;
   resignation.set_owner(options_.name);
   resignation.set_fence(resigned_fence_);
@@ -183,13 +187,13 @@
       {MakeRecord(RecordKind::kResignation, options_.name, resignation)});
 }
 
-auto EntryDecisions::OnResignationSettled(AppendFate fate) -> void {
-  if (fate == AppendFate::kNotStored) {
-    // Written again as soon as the log may take it.
-    resignation_told_ = 0;
+auto EntryDecisions::OnResignationOutcome(EntryOutcome outcome) -> void {
+  if (outcome == EntryOutcome::kNotStored) {
+    // The resignation is appended again as soon as the log accepts appends.
+    resignation_logged_ = 0;
     return;
   }
-  log_.Write("owner_resigned", {{"fence", absl::StrCat(resignation_told_)}});
+  log_.Write("owner_resigned", {{"fence", absl::StrCat(resignation_logged_)}});
 }
 
 auto EntryDecisions::OnResignationRead(TimePoint now, const std::string& entry)
--- a/Source/Jobs/heartbeat_check.cc
+++ b/Source/Jobs/heartbeat_check.cc
@@ -24,17 +24,16 @@
 }
 
 auto CheckCapacity(const schema::Resources& capacity) -> absl::Status {
-  // A worker without processors would get fillers, which need none of their
-  // own.
+  // A worker without processors would receive opportunistic tasks, which
+  // reserve none of their own.
   auto status =
-      CheckAmount("millicores", capacity.millicores(), 1, kMostMillicores);
+      CheckAmount("millicores", capacity.millicores(), 1, kMaxMillicores);
   if (status.ok()) {
-    status =
-        CheckAmount("MB of memory", capacity.memory_mb(), 1, kMostMemoryMb);
+    status = CheckAmount("MB of memory", capacity.memory_mb(), 1, kMaxMemoryMb);
   }
   if (status.ok()) {
     status = CheckAmount("accelerators", capacity.accelerators(), 0,
-                         kMostAccelerators);
+                         kMaxAccelerators);
   }
   return status;
 }
@@ -42,17 +41,18 @@
 }  // namespace
 
 auto CheckWorkerId(const std::string& id) -> absl::Status {
-  // An empty id means that no worker is known, and bytes that are no text
-  // would make the agent's report unreadable to the owner.
+  // An empty id means that no worker is known, and invalid text would make the
+  // agent's report unreadable to the owner.
   const bool well_formed =
-      !id.empty() && id.size() <= kLongestWorkerId &&
+      !id.empty() && id.size() <= kMaxWorkerIdLength &&
       std::all_of(id.begin(), id.end(), [](unsigned char c) -> bool {
         return absl::ascii_isgraph(c) && c != '/';
       });
-  return well_formed ? absl::OkStatus()
-                     : Problem(absl::StrCat(
-                           "the worker's id must have 1 to ", kLongestWorkerId,
-                           " printable characters and no \"/\""));
+  return well_formed
+             ? absl::OkStatus()
+             : Problem(absl::StrCat("the worker's id must have 1 to ",
+                                    kMaxWorkerIdLength,
+                                    " printable characters and no \"/\""));
 }
 
 auto CheckHeartbeat(const WorkerHeartbeat& heartbeat) -> absl::Status {
@@ -66,9 +66,9 @@
   if (heartbeat.failure_domain.empty()) {
     return Problem("the failure domain is empty");
   }
-  if (heartbeat.labels.size() > kMostLabels) {
+  if (heartbeat.labels.size() > kMaxLabels) {
     return Problem(absl::StrCat("there are ", heartbeat.labels.size(),
-                                " labels, allowed are ", kMostLabels));
+                                " labels, allowed are ", kMaxLabels));
   }
   return CheckCapacity(heartbeat.capacity);
 }
--- a/Source/Jobs/heartbeat_check.h
+++ b/Source/Jobs/heartbeat_check.h
@@ -9,16 +9,17 @@
 
 namespace rhubarbhaven::jobs {
 
-// Bounds against input that names no worker; far above what workers have.
-inline constexpr std::size_t kLongestWorkerId = 200;
-inline constexpr uint32_t kMostMillicores = 100'000'000;
-inline constexpr uint64_t kMostMemoryMb = 1ULL << 40;
-inline constexpr uint32_t kMostAccelerators = 100'000;
-inline constexpr std::size_t kMostLabels = 100;
-
-// An error says what is wrong with an id that no worker can have.
+// Limits against input that does not describe a worker, far above the values of
+// real workers.
+inline constexpr std::size_t kMaxWorkerIdLength = 200;
+inline constexpr uint32_t kMaxMillicores = 100'000'000;
+inline constexpr uint64_t kMaxMemoryMb = 1ULL << 40;
+inline constexpr uint32_t kMaxAccelerators = 100'000;
+inline constexpr std::size_t kMaxLabels = 100;
+
+// Returns an error for an id that no worker can have.
 auto CheckWorkerId(const std::string& id) -> absl::Status;
-// An error says why the heartbeat names no worker that can be used.
+// Returns an error if the heartbeat does not describe a usable worker.
 auto CheckHeartbeat(const WorkerHeartbeat& heartbeat) -> absl::Status;
 
 }  // namespace rhubarbhaven::jobs
--- a/Source/Jobs/image_interference.cc
+++ b/Source/Jobs/image_interference.cc
@@ -6,45 +6,48 @@
 namespace rhubarbhaven::jobs {
 namespace {
 
-// Pressures of half of the images were seen at 0 to 3, those of the rest at 5
-// to 15, by a fit over a day's samples.
+// A fit over a day's samples gave pressures of 0 to 3 for half of the images
+// and of 5 to 15 for the rest.
 constexpr double kUnknownPressure = 3.0;
 constexpr double kUnknownVariance = 30.0;
-constexpr double kLargestPressure = 60.0;
-// Of a pressure that another owner has learned.
-constexpr double kToldVariance = 4.0;
-// Growth of the variances a second: a base follows its run's load, which
-// swings by half within some 20 s; pressures change, too, but less. Both from
+constexpr double kMaxPressure = 60.0;
+// Variance of a pressure that another owner has learned.
+constexpr double kReportedVariance = 4.0;
+// Growth of the variances per second. A base follows its run's load, which
+// varies by half within about 20 s. Pressures change less. Both values are from
 // the fit with the smallest error over a day's samples.
 constexpr double kBaseDrift = 0.1;
 constexpr double kPressureDrift = 0.2;
 constexpr double kNewBaseVariance = 0.3;
-// Of a look, as the square of a share of the latency: the figure is rough.
-constexpr double kLookVariance = 0.01;
-// What a worker tells follows the latency with this time constant: after all
-// fillers of a worker had been stopped, it fell by 0.45 in 0.6 s. Looks that
-// follow each other more closely tell less that is new.
+// Variance of a sample, as the square of a share of the latency: the value is
+// imprecise.
+constexpr double kSampleVariance = 0.01;
+// The reported latency follows the real one with this time constant: after all
+// opportunistic runs of a worker had been stopped, it fell by 0.45 in 0.6 s.
+// Samples in quicker succession contain less new information.
 constexpr std::chrono::duration<double> kSmoothing{0.5};
-// Sooner than this after the one before, a look tells nothing.
-constexpr std::chrono::milliseconds kShortestGap{100};
-// A look that repeats the figure of the one before is the same one, told again,
-// up to this age.
-constexpr std::chrono::milliseconds kToldAgain{350};
-// Noise is not taken for a fall of the latency below this part of the figure.
-constexpr double kLeastOfTold = 0.25;
-// A base is not taken to drift longer than this between two looks.
-constexpr std::chrono::duration<double> kLongestDrift{3.0};
-// A worker that stood still tells absurd latencies; they count no more than
-// this (as a logarithm).
-constexpr double kLargestError = 2.0;
-
-auto ByImage(const std::vector<FillerSample>& fillers)
-    -> std::vector<FillerSample> {
+// A sample that follows the previous one sooner than this contains no
+// information.
+constexpr std::chrono::milliseconds kMinGap{100};
+// A sample with the same value as the previous one is the same report again, up
+// to this age.
+constexpr std::chrono::milliseconds kRepeatWindow{350};
+// Lower bound of the latency, as a share of the reported one, so that noise
+// does not appear as a large drop.
+constexpr double kMinLatencyShare = 0.25;
+// Maximum drift time of a base between two samples.
+constexpr std::chrono::duration<double> kMaxDrift{3.0};
+// A worker that was suspended reports extreme latencies. Their errors are
+// limited to this value (as a logarithm).
+constexpr double kMaxError = 2.0;
+
+auto ByImage(const std::vector<OpportunisticSample>& opportunistic)
+    -> std::vector<OpportunisticSample> {
   std::map<std::string_view, double> shares;
-  for (const auto& filler : fillers) {
-    shares[filler.image] += filler.share;
+  for (const auto& task : opportunistic) {
+    shares[task.image] += task.share;
   }
-  std::vector<FillerSample> sums;
+  std::vector<OpportunisticSample> sums;
   sums.reserve(shares.size());
   for (const auto& [image, share] : shares) {
     sums.push_back({image, share});
@@ -54,11 +57,11 @@
 
 }  // namespace
 
-auto ImageInterference::Observe(TimePoint now,
-                                const std::vector<ServingSample>& serving,
-                                const std::vector<FillerSample>& fillers)
-    -> void {
-  const auto by_image = ByImage(fillers);
+auto ImageInterference::Observe(
+    TimePoint now,
+    const std::vector<ServingSample>& serving,
+    const std::vector<OpportunisticSample>& opportunistic) -> void {
+  const auto by_image = ByImage(opportunistic);
   for (const auto& sample : serving) {
     if (sample.latency.count() > 0) {
       Learn(now, sample, by_image);
@@ -80,10 +83,10 @@
 auto ImageInterference::Learned() const -> LearnedPressures {
   LearnedPressures learned;
   for (const auto& [serving, row] : pressures_) {
-    for (const auto& [filler, estimate] : row) {
+    for (const auto& [task, estimate] : row) {
       auto* pressure = learned.add_pressures();
       pressure->set_serving_image(serving);
-      pressure->set_filler_image(filler);
+      pressure->set_filler_image(task);
       pressure->set_pressure(estimate.value);
     }
   }
@@ -100,7 +103,7 @@
 
 auto ImageInterference::SetPressure(const ImagePressure& pressure) -> void {
   pressures_[pressure.serving_image()][pressure.filler_image()] = {
-      std::clamp(pressure.pressure(), 0.0, kLargestPressure), kToldVariance};
+      std::clamp(pressure.pressure(), 0.0, kMaxPressure), kReportedVariance};
 }
 
 auto ImageInterference::base(uint64_t run) const -> Latency {
@@ -119,81 +122,85 @@
   serving_.erase(run);
 }
 
-auto ImageInterference::Slowdown(std::string_view serving_image,
-                                 const std::vector<FillerSample>& fillers) const
-    -> double {
+auto ImageInterference::Slowdown(
+    std::string_view serving_image,
+    const std::vector<OpportunisticSample>& opportunistic) const -> double {
   double slowdown = 1.0;
-  for (const auto& filler : fillers) {
-    slowdown += Pressure(serving_image, filler.image) * filler.share;
+  for (const auto& task : opportunistic) {
+    slowdown += Pressure(serving_image, task.image) * task.share;
   }
   return slowdown;
 }
 
-auto ImageInterference::Learn(TimePoint now,
-                              const ServingSample& sample,
-                              const std::vector<FillerSample>& fillers)
-    -> void {
-  const Latency told = sample.latency;
+auto ImageInterference::Learn(
+    TimePoint now,
+    const ServingSample& sample,
+    const std::vector<OpportunisticSample>& opportunistic) -> void {
+  const Latency reported = sample.latency;
   const auto [found, is_new] = serving_.try_emplace(sample.run);
   Serving& run = found->second;
   if (is_new) {
-    const double slowdown = Slowdown(sample.image, fillers);
-    run = {
-        {std::log(told.count() / slowdown), kNewBaseVariance}, told, told, now};
+    const double slowdown = Slowdown(sample.image, opportunistic);
+    run = {{std::log(reported.count() / slowdown), kNewBaseVariance},
+           reported,
+           reported,
+           now};
     return;
   }
-  if (const auto since = TakeLook(now, told, &run)) {
-    Correct(*since, sample.image, fillers, &run);
+  if (const auto since = AcceptSample(now, reported, &run)) {
+    Correct(*since, sample.image, opportunistic, &run);
   }
 }
 
-auto ImageInterference::TakeLook(TimePoint now, Latency told, Serving* run)
-    -> std::optional<Seconds> {
+auto ImageInterference::AcceptSample(TimePoint now,
+                                     Latency reported,
+                                     Serving* run) -> std::optional<Seconds> {
   const Seconds since = now - run->seen;
-  const bool repeated = told == run->told && since < kToldAgain;
-  if (repeated || since < kShortestGap) {
+  const bool repeated = reported == run->reported && since < kRepeatWindow;
+  if (repeated || since < kMinGap) {
     return std::nullopt;
   }
   const double kept = std::exp(-(since / kSmoothing));
-  run->latency =
-      std::max((told - kept * run->told) / (1.0 - kept), kLeastOfTold * told);
-  run->told = told;
+  run->latency = std::max((reported - kept * run->reported) / (1.0 - kept),
+                          kMinLatencyShare * reported);
+  run->reported = reported;
   run->seen = now;
-  return std::min(since, kLongestDrift);
+  return std::min(since, kMaxDrift);
 }
 
-auto ImageInterference::Correct(Seconds since,
-                                std::string_view image,
-                                const std::vector<FillerSample>& fillers,
-                                Serving* run) -> void {
-  const double slowdown = Slowdown(image, fillers);
-  const double news = std::min(since / kSmoothing, 1.0);
+auto ImageInterference::Correct(
+    Seconds since,
+    std::string_view image,
+    const std::vector<OpportunisticSample>& opportunistic,
+    Serving* run) -> void {
+  const double slowdown = Slowdown(image, opportunistic);
+  const double new_share = std::min(since / kSmoothing, 1.0);
   run->log_base.variance += kBaseDrift * since.count();
-  double variance = run->log_base.variance + kLookVariance / news;
+  double variance = run->log_base.variance + kSampleVariance / new_share;
   auto& row = pressures_.try_emplace(std::string(image)).first->second;
-  for (const auto& filler : fillers) {
+  for (const auto& task : opportunistic) {
     auto& pressure =
-        row.try_emplace(std::string(filler.image),
+        row.try_emplace(std::string(task.image),
                         Estimate{kUnknownPressure, kUnknownVariance})
             .first->second;
     pressure.variance = std::min(
         kUnknownVariance, pressure.variance + kPressureDrift * since.count());
-    const double slope = filler.share / slowdown;
+    const double slope = task.share / slowdown;
     variance += pressure.variance * slope * slope;
   }
   const double error = std::clamp(
       std::log(run->latency.count() / slowdown) - run->log_base.value,
-      -kLargestError, kLargestError);
+      -kMaxError, kMaxError);
   const auto correct = [error, variance](Estimate* estimate, double slope) {
     const double gain = estimate->variance * slope / variance;
     estimate->value += gain * error;
     estimate->variance *= 1.0 - gain * slope;
   };
   correct(&run->log_base, 1.0);
-  for (const auto& filler : fillers) {
-    auto& pressure = row.find(filler.image)->second;
-    correct(&pressure, filler.share / slowdown);
-    pressure.value = std::clamp(pressure.value, 0.0, kLargestPressure);
+  for (const auto& task : opportunistic) {
+    auto& pressure = row.find(task.image)->second;
+    correct(&pressure, task.share / slowdown);
+    pressure.value = std::clamp(pressure.value, 0.0, kMaxPressure);
   }
 }
 
--- a/Source/Jobs/image_interference.h
+++ b/Source/Jobs/image_interference.h
@@ -14,53 +14,55 @@
 
 namespace rhubarbhaven::jobs {
 
-// With parts of a millisecond, for estimates.
+// In fractions of a millisecond, for estimates.
 using Latency = std::chrono::duration<double, std::milli>;
 
-// One look at a run that serves.
+// One sample of a serving run.
 struct ServingSample {
   std::string_view image;
   uint64_t run = 0;
   std::chrono::milliseconds latency{0};
 };
 
-// What one run takes of a worker's processors, 0 to 1.
-struct FillerSample {
+// The share of a worker's processors that one run uses, 0 to 1.
+struct OpportunisticSample {
   std::string_view image;
   double share = 0;
 };
 
-// Learns how much runs on spare processors of one image slow the runs of
-// another image that serve beside them, from all workers together. The model:
-// latency = base of the run * (1 + sum over fillers of pressure * share). A
-// run's base follows its own load, so it is tracked for each run.
+// Learns how much opportunistic runs of one image slow the runs of another
+// image that serve beside them, from all workers together. The model: latency =
+// base of the run * (1 + sum over opportunistic runs of pressure * share). The
+// base of a run follows its own load, so it is tracked for each run.
 //
-// A Kalman filter with independent errors: each look corrects the base and the
-// pressures by how uncertain each of them is. With fixed steps instead, a peak
-// that fillers caused stayed in the base for seconds, and the other way round:
-// the error of the next latency foretold was 0.37 (mean of the logarithm, over
-// a day's looks at 11 workers), with the filter 0.21, and with the smoothing of
-// the told latencies taken out 0.12 to 0.14.
+// A Kalman filter with independent errors: each sample corrects the base and
+// the pressures in proportion to their uncertainty. With fixed steps instead, a
+// peak caused by opportunistic runs remained in the base for seconds, and vice
+// versa. The error of the prediction of the next latency (mean of the
+// logarithm, over a day's samples from 11 workers) was 0.37 with fixed steps,
+// 0.21 with the filter, and 0.12 to 0.14 with the smoothing of the reported
+// latencies removed as well.
 class ImageInterference {
  public:
   auto Observe(TimePoint now,
                const std::vector<ServingSample>& serving,
-               const std::vector<FillerSample>& fillers) -> void;
-  // Of a pair that was never seen: a middling value, so that such runs are
-  // neither let loose nor stopped.
+               const std::vector<OpportunisticSample>& opportunistic) -> void;
+  // The pressure of one image on another. For an unknown pair it is a medium
+  // value, so that such runs are neither unrestricted nor stopped.
   auto Pressure(std::string_view serving_image,
                 std::string_view filler_image) const -> double;
-  // All that was learned, and its start from what another has learned.
+  // Exports all learned pressures, and starts from those that another instance
+  // has learned.
   auto Learned() const -> LearnedPressures;
   auto Load(const LearnedPressures& learned) -> void;
-  // Takes over what another knows better of one pair.
+  // Adopts a pressure between two images from another instance.
   auto SetPressure(const ImagePressure& pressure) -> void;
-  // A serving run's latency without fillers; zero if unknown.
+  // A serving run's latency without opportunistic runs; zero if unknown.
   auto base(uint64_t run) const -> Latency;
-  // Its latency now, with the smoothing of what the worker tells taken out;
-  // zero if unknown.
+  // The run's current latency, with the smoothing of the worker's reports
+  // removed; zero if unknown.
   auto latency(uint64_t run) const -> Latency;
-  // The run has ended.
+  // Discards the state of a run that has ended.
   auto Forget(uint64_t run) -> void;
 
  private:
@@ -69,12 +71,12 @@
     double value = 0;
     double variance = 0;
   };
-  // What is known of a serving run.
+  // The state of a serving run.
   struct Serving {
-    // Logarithm of its latency without fillers, in milliseconds.
+    // Logarithm of its latency in milliseconds without opportunistic runs.
     Estimate log_base;
-    // As told at `seen`, and without its smoothing.
-    Latency told{0};
+    // As reported at `seen`, and with the smoothing removed.
+    Latency reported{0};
     Latency latency{0};
     TimePoint seen;
   };
@@ -82,19 +84,20 @@
 
   auto Learn(TimePoint now,
              const ServingSample& sample,
-             const std::vector<FillerSample>& fillers) -> void;
-  // Takes in what a worker tells; the time since the look before, or none if
-  // there is nothing new.
-  static auto TakeLook(TimePoint now, Latency told, Serving* run)
+             const std::vector<OpportunisticSample>& opportunistic) -> void;
+  // Accepts a reported latency. Returns the time since the previous sample, or
+  // none if there is nothing new.
+  static auto AcceptSample(TimePoint now, Latency reported, Serving* run)
       -> std::optional<Seconds>;
   // Corrects the base of a run and the pressures on its image.
   auto Correct(Seconds since,
                std::string_view image,
-               const std::vector<FillerSample>& fillers,
+               const std::vector<OpportunisticSample>& opportunistic,
                Serving* run) -> void;
-  // 1 and more: the latency against that without the fillers.
+  // The ratio of the latency to that without opportunistic runs; at least 1.
   auto Slowdown(std::string_view serving_image,
-                const std::vector<FillerSample>& fillers) const -> double;
+                const std::vector<OpportunisticSample>& opportunistic) const
+      -> double;
 
   using Row = std::map<std::string, Estimate, std::less<>>;
 
--- a/Source/Jobs/job_check.cc
+++ b/Source/Jobs/job_check.cc
@@ -16,12 +16,12 @@
 
 auto CheckStep(const Job& job, int number) -> absl::Status {
   const auto& step = job.steps(number);
-  if (step.count() < 1 || step.count() > kMostTasksPerStep) {
+  if (step.count() < 1 || step.count() > kMaxTasksPerStep) {
     return Problem(absl::StrCat("step ", number, " has ", step.count(),
-                                " tasks, allowed is 1 to ", kMostTasksPerStep));
+                                " tasks, allowed is 1 to ", kMaxTasksPerStep));
   }
   for (const uint32_t after : step.after()) {
-    // Only earlier steps: so there is no cycle.
+    // A step may wait only for earlier steps, which rules out cycles.
     if (after >= static_cast<uint32_t>(number)) {
       return Problem(absl::StrCat("step ", number, " waits for step ", after,
                                   ", allowed are earlier steps only"));
@@ -47,18 +47,18 @@
   if (!status.ok()) {
     return status;
   }
-  if (job.payload().size() > kLongestPayload) {
+  if (job.payload().size() > kMaxPayloadBytes) {
     return Problem(absl::StrCat("the payload has ", job.payload().size(),
-                                " bytes, allowed are ", kLongestPayload));
+                                " bytes, allowed are ", kMaxPayloadBytes));
   }
-  if (job.steps_size() < 1 || job.steps_size() > kMostSteps) {
+  if (job.steps_size() < 1 || job.steps_size() > kMaxSteps) {
     return Problem(absl::StrCat("the job has ", job.steps_size(),
-                                " steps, allowed is 1 to ", kMostSteps));
+                                " steps, allowed is 1 to ", kMaxSteps));
   }
-  if (job.occurrences() > kMostOccurrences) {
+  if (job.occurrences() > kMaxOccurrences) {
     return Problem(absl::StrCat("the job occurs ", job.occurrences(),
                                 " times, allowed is at most ",
-                                kMostOccurrences));
+                                kMaxOccurrences));
   }
   for (int number = 0; number < job.steps_size(); ++number) {
     status = CheckStep(job, number);
--- a/Source/Jobs/job_check.h
+++ b/Source/Jobs/job_check.h
@@ -9,16 +9,16 @@
 
 namespace rhubarbhaven::jobs {
 
-// Largest payload that a job may carry, in bytes, by the interface's contract.
-inline constexpr std::size_t kLongestPayload = 4000;
-// Bounds against input that would exhaust an entry's memory; far above what
+// Maximum size of a job's payload in bytes, by the contract of the interface.
+inline constexpr std::size_t kMaxPayloadBytes = 4000;
+// Limits against input that would exhaust an entry's memory, far above what
 // callers use.
-inline constexpr int kMostSteps = 256;
-inline constexpr uint32_t kMostTasksPerStep = 10000;
-inline constexpr uint32_t kMostOccurrences = 100000;
+inline constexpr int kMaxSteps = 256;
+inline constexpr uint32_t kMaxTasksPerStep = 10000;
+inline constexpr uint32_t kMaxOccurrences = 100000;
 
 auto CheckJobId(const std::string& id) -> absl::Status;
-// An error says what is wrong with the job, where, and what is allowed.
+// The error describes what is wrong with the job, where, and what is allowed.
 auto CheckJob(const Job& job) -> absl::Status;
 
 }  // namespace rhubarbhaven::jobs
--- a/Source/Jobs/job_fold.cc
+++ b/Source/Jobs/job_fold.cc
@@ -24,48 +24,49 @@
 auto JobFold::Apply(const KeyedRecord& record) -> FoldChange {
   const RecordKey key = ParseKey(record.key);
   FoldChange change{key.kind, key.name, ""};
-  const auto taken = Take(key, record, &change.passed_over);
+  const auto taken = ApplyByKind(key, record, &change.skipped_reason);
   if (!taken.ok()) {
-    // Named to nobody: an owner would look for what is not there, and a claim
-    // that cannot be read would count as a sign of life of the one before.
+    // A skipped record is not reported as a change: an owner would look up
+    // something that does not exist, and a claim that cannot be parsed would
+    // count as a renewal of the previous one.
     change.kind = RecordKind::kUnknown;
-    change.passed_over = std::string(taken.message());
+    change.skipped_reason = std::string(taken.message());
   }
   return change;
 }
 
-auto JobFold::Take(const RecordKey& key,
-                   const KeyedRecord& record,
-                   std::string* earlier_passed_over) -> absl::Status {
+auto JobFold::ApplyByKind(const RecordKey& key,
+                          const KeyedRecord& record,
+                          std::string* earlier_skipped_reason) -> absl::Status {
   switch (key.kind) {
     case RecordKind::kJob:
-      return TakeJob(key.name, record, earlier_passed_over);
+      return ApplyJob(key.name, record, earlier_skipped_reason);
     case RecordKind::kProgress:
-      return TakeProgress(key.name, record);
+      return ApplyProgress(key.name, record);
     case RecordKind::kCancellation:
-      return TakeCancellation(key.name, record);
+      return ApplyCancellation(key.name, record);
     case RecordKind::kAgent:
-      return TakeAgent(key.name, record);
+      return ApplyAgent(key.name, record);
     case RecordKind::kAgentGrants:
-      return TakeAgentGrants(key.name, record);
+      return ApplyAgentGrants(key.name, record);
     case RecordKind::kWorkerEnds:
-      return TakeWorkerEnds(key.name, record);
+      return ApplyWorkerEnds(key.name, record);
     case RecordKind::kClaim:
-      return TakeClaim(key.name, record);
+      return ApplyClaim(key.name, record);
     case RecordKind::kResignation:
-      return TakeResignation(key.name, record);
+      return ApplyResignation(key.name, record);
     case RecordKind::kPressures:
-      return TakePressures(key.name, record);
+      return ApplyPressures(key.name, record);
     case RecordKind::kUnknown:
       break;
   }
-  return absl::InvalidArgumentError("no such key belongs to this system");
+  return absl::InvalidArgumentError("the key is of no known kind");
 }
 
 auto JobFold::Find(const std::string& job) const -> const StoredJob* {
   const auto found = jobs_.find(job);
-  // A cancellation or progress may be read ahead of its job, from the pages
-  // of newest records.
+  // Pages of newest records may contain a cancellation or progress before its
+  // job.
   const bool known = found != jobs_.end() && !found->second->job.id().empty();
   return known ? found->second.get() : nullptr;
 }
@@ -110,20 +111,20 @@
   return pending;
 }
 
-auto JobFold::TakeJob(const std::string& id,
-                      const KeyedRecord& record,
-                      std::string* earlier_passed_over) -> absl::Status {
+auto JobFold::ApplyJob(const std::string& id,
+                       const KeyedRecord& record,
+                       std::string* earlier_skipped_reason) -> absl::Status {
   if (record.value.empty()) {
-    DropJob(id);
+    RemoveJob(id);
     return absl::OkStatus();
   }
   auto job = ReadJob(id, record.value);
   if (!job.ok()) {
     return job.status();
   }
-  StoredJob& entry = EntryOf(id);
-  // The first record of an id counts: a caller that heard no answer hands its
-  // job in again, also at other entries.
+  StoredJob& entry = FindOrCreate(id);
+  // The first record of an id is binding: a caller that received no response
+  // may submit its job again, also to other entries.
   if (!entry.job.id().empty()) {
     return absl::OkStatus();
   }
@@ -132,15 +133,15 @@
   cancelled_ahead_.erase(id);
   auto status = CheckProgress(entry.job, entry.progress);
   if (!status.ok()) {
-    *earlier_passed_over =
-        absl::StrCat("of its progress, read before: ", status.message());
+    *earlier_skipped_reason = absl::StrCat(
+        "its progress, read earlier, does not match: ", status.message());
     entry.progress.Clear();
     entry.progress_at = 0;
   }
   return absl::OkStatus();
 }
 
-auto JobFold::TakeProgress(const std::string& id, const KeyedRecord& record)
+auto JobFold::ApplyProgress(const std::string& id, const KeyedRecord& record)
     -> absl::Status {
   if (record.value.empty()) {
     return absl::OkStatus();
@@ -156,7 +157,7 @@
       return status;
     }
   }
-  StoredJob& entry = EntryOf(id);
+  StoredJob& entry = FindOrCreate(id);
   if (record.offset >= entry.progress_at) {
     entry.progress = *std::move(progress);
     entry.progress_at = record.offset;
@@ -164,11 +165,11 @@
   return absl::OkStatus();
 }
 
-auto JobFold::TakeCancellation(const std::string& id, const KeyedRecord& record)
-    -> absl::Status {
+auto JobFold::ApplyCancellation(const std::string& id,
+                                const KeyedRecord& record) -> absl::Status {
   if (record.value.empty()) {
     if (cancelled_ahead_.contains(id)) {
-      DropJob(id);
+      RemoveJob(id);
     }
     return absl::OkStatus();
   }
@@ -176,7 +177,7 @@
   if (!status.ok()) {
     return status;
   }
-  StoredJob& entry = EntryOf(id);
+  StoredJob& entry = FindOrCreate(id);
   if (!entry.cancelled_at) {
     entry.cancelled_at = record.offset;
   }
@@ -186,8 +187,8 @@
   return absl::OkStatus();
 }
 
-auto JobFold::TakeAgentGrants(const std::string& name,
-                              const KeyedRecord& record) -> absl::Status {
+auto JobFold::ApplyAgentGrants(const std::string& name,
+                               const KeyedRecord& record) -> absl::Status {
   if (record.value.empty()) {
     grants_.erase(name);
     return absl::OkStatus();
@@ -196,7 +197,8 @@
   if (!grants.ok()) {
     return grants.status();
   }
-  // An earlier owner than was read before is none that wrote later.
+  // A record with a lower fence than the one known is not newer, whatever its
+  // offset.
   auto& newest = grants_[name];
   if (grants->fence() >= newest.fence()) {
     newest = *std::move(grants);
@@ -204,29 +206,30 @@
   return absl::OkStatus();
 }
 
-auto JobFold::TakeAgent(const std::string& name, const KeyedRecord& record)
+auto JobFold::ApplyAgent(const std::string& name, const KeyedRecord& record)
     -> absl::Status {
   if (record.value.empty()) {
     agents_.erase(name);
     return absl::OkStatus();
   }
-  // Symptom: the owner polls an agent that is none, and a new owner starts
-  // nothing of before its claim until the leases are over, as its census waits
-  // for that agent's answer. So only what can be asked is an agent.
+  // An agent with an invalid endpoint would be polled without success, and the
+  // reconciliation of a new owner would wait for its answer: the owner would
+  // start nothing from before its claim until the leases expire. Only an agent
+  // that can be polled is accepted.
   auto entry = ReadAgent(name, record.value);
   if (!entry.ok()) {
     return entry.status();
   }
   if (is_endpoint_ != nullptr && !is_endpoint_(entry->link_endpoint())) {
-    return absl::InvalidArgumentError(
-        absl::StrCat("\"", entry->link_endpoint(), "\" is no endpoint"));
+    return absl::InvalidArgumentError(absl::StrCat(
+        "\"", entry->link_endpoint(), "\" is not a valid endpoint"));
   }
   agents_[name] = *std::move(entry);
   return absl::OkStatus();
 }
 
-auto JobFold::TakeWorkerEnds(const std::string& worker_id,
-                             const KeyedRecord& record) -> absl::Status {
+auto JobFold::ApplyWorkerEnds(const std::string& worker_id,
+                              const KeyedRecord& record) -> absl::Status {
   if (record.value.empty()) {
     worker_ends_.erase(worker_id);
     return absl::OkStatus();
@@ -239,7 +242,7 @@
   return absl::OkStatus();
 }
 
-auto JobFold::TakeClaim(const std::string& name, const KeyedRecord& record)
+auto JobFold::ApplyClaim(const std::string& name, const KeyedRecord& record)
     -> absl::Status {
   if (claim_known_ && record.offset <= claim_at_) {
     return absl::OkStatus();
@@ -254,8 +257,8 @@
   return absl::OkStatus();
 }
 
-auto JobFold::TakeResignation(const std::string& name,
-                              const KeyedRecord& record) -> absl::Status {
+auto JobFold::ApplyResignation(const std::string& name,
+                               const KeyedRecord& record) -> absl::Status {
   if (record.value.empty()) {
     resigned_fences_.erase(name);
     return absl::OkStatus();
@@ -269,7 +272,7 @@
   return absl::OkStatus();
 }
 
-auto JobFold::TakePressures(const std::string& name, const KeyedRecord& record)
+auto JobFold::ApplyPressures(const std::string& name, const KeyedRecord& record)
     -> absl::Status {
   auto learned = ReadPressures(name, record.value);
   if (!learned.ok()) {
@@ -279,16 +282,16 @@
   return absl::OkStatus();
 }
 
-auto JobFold::DropJob(const std::string& id) -> void {
+auto JobFold::RemoveJob(const std::string& id) -> void {
   cancelled_ahead_.erase(id);
   const auto found = jobs_.find(id);
   if (found != jobs_.end()) {
-    dropped_job_ = std::move(found->second);
+    removed_job_ = std::move(found->second);
     jobs_.erase(found);
   }
 }
 
-auto JobFold::EntryOf(const std::string& id) -> StoredJob& {
+auto JobFold::FindOrCreate(const std::string& id) -> StoredJob& {
   auto& entry = jobs_[id];
   if (entry == nullptr) {
     entry = std::make_unique<StoredJob>();
--- a/Source/Jobs/job_fold.h
+++ b/Source/Jobs/job_fold.h
@@ -19,14 +19,14 @@
 
 namespace rhubarbhaven::jobs {
 
-// A job as the log has it.
+// A job as stored in the log.
 struct StoredJob {
   Job job;
-  // Place of the job's first record.
+  // Offset of the job's first record.
   uint64_t accepted_at = 0;
   std::optional<uint64_t> cancelled_at;
   JobProgress progress;
-  // Place of the newest progress; zero if there is none.
+  // Offset of the newest progress record; zero if there is none.
   uint64_t progress_at = 0;
 
   auto state() const -> JobState;
@@ -34,33 +34,34 @@
   auto over() const -> bool;
 };
 
-// Changes that one record made, for whoever acts on them.
+// The change that one record made, for the code that acts on it.
 struct FoldChange {
   // kUnknown if nothing was changed.
   RecordKind kind = RecordKind::kUnknown;
   std::string name;
-  // Why the record, or the progress that waited for it, was passed over; empty
-  // if all was taken.
-  std::string passed_over;
+  // Why the record, or the progress that preceded it, was skipped; empty if all
+  // of it was applied.
+  std::string skipped_reason;
 };
 
-// Whether a link can be made to an endpoint of this form.
+// Whether a string has the form of an endpoint to which a link can be opened.
 using IsLinkEndpoint = std::function<auto(const std::string& endpoint)->bool>;
 
-// The state of all jobs, agents and of the ownership, folded from the records
-// of the keyed log. Every entry keeps one; two entries that have read to the
-// same place have the same.
+// The state of all jobs and agents and of the ownership, folded from the
+// records of the keyed log. Every entry keeps a copy. Copies that were read up
+// to the same offset are equal.
 class JobFold {
  public:
-  // Any endpoint will do if `is_endpoint` is null.
+  // If `is_endpoint` is null, every endpoint is accepted.
   explicit JobFold(IsLinkEndpoint is_endpoint = nullptr)
       : is_endpoint_(std::move(is_endpoint)) {}
 
-  // Records of one key must come in the order of their offsets; an older one
-  // than the newest applied is ignored, so pages of newest records and the
-  // records behind them may overlap. A record of another writer that cannot be
-  // read, or names what is not there, leaves what an earlier one of its key
-  // said; an empty value drops the key.
+  // Applies one record. Records of one key must arrive in the order of their
+  // offsets. A record older than the newest applied one is ignored, so pages of
+  // newest records may overlap with the records read after them. A record of a
+  // foreign writer that cannot be parsed or that refers to something that does
+  // not exist is skipped, and the state from the key's previous record is kept.
+  // An empty value removes the key.
   auto Apply(const KeyedRecord& record) -> FoldChange;
 
   auto Find(const std::string& job) const -> const StoredJob*;
@@ -72,66 +73,70 @@
     return agents_;
   }
   // Fence of the newest owner that may have granted something to the agent;
-  // none if no owner has said so.
+  // none if no owner has recorded a grant.
   auto granted_by(const std::string& agent) const -> std::optional<uint64_t>;
-  // Whether the agent has registered that its worker has left, in the very life
-  // that an owner granted to last: nothing of any owner runs there. An owner
-  // grants nothing to a worker's next life before the log says so.
+  // Whether the agent has registered that its worker has left, with the same
+  // worker id that an owner granted to last. If so, no owner has anything
+  // running there. An owner grants nothing to the worker's next process before
+  // the log contains the grant.
   auto worker_has_left(const std::string& agent) const -> bool;
-  // The last end in the log of a worker's life; zero if there is none.
+  // Number of the last task end in the log for a worker id; zero if there is
+  // none.
   auto ends_logged(const std::string& worker_id) const -> uint64_t;
-  // The newest claim; its place in the log.
+  // The newest claim and its offset in the log.
   auto claim() const -> const OwnerClaim& { return claim_; }
   auto claim_at() const -> uint64_t { return claim_at_; }
-  // Up to which fence the entry has said that it grants nothing any more; zero
-  // if it has not.
+  // The highest fence for which the entry has announced that it grants nothing
+  // more; zero if there is none.
   auto resigned_fence(const std::string& entry) const -> uint64_t;
-  // What the latest owners have learned of images.
+  // Pressures between images, as learned by the latest owners.
   auto pressures() const -> const LearnedPressures& { return pressures_; }
-  // Whether the log has a cancellation of a job that it does not have (yet).
+  // Whether the log contains a cancellation of the job but not the job itself
+  // (yet).
   auto CancelledAhead(const std::string& job) const -> bool;
-  // Ids of which that is so.
+  // Ids of all such jobs.
   auto cancelled_ahead() const -> const std::set<std::string>& {
     return cancelled_ahead_;
   }
-  // Jobs of a queue that are accepted and run once, none of whose tasks has
-  // started.
+  // Number of accepted jobs of a queue that run once and none of whose tasks
+  // has started.
   auto PendingIn(const std::string& queue) const -> uint64_t;
 
  private:
-  // Takes one record; an error says why it was passed over.
-  auto Take(const RecordKey& key,
-            const KeyedRecord& record,
-            std::string* earlier_passed_over) -> absl::Status;
-  // Says of progress that was read ahead of the job why it is not the job's.
-  auto TakeJob(const std::string& id,
-               const KeyedRecord& record,
-               std::string* earlier_passed_over) -> absl::Status;
-  auto TakeProgress(const std::string& id, const KeyedRecord& record)
+  // Applies one record by its kind. The error states why it was skipped.
+  auto ApplyByKind(const RecordKey& key,
+                   const KeyedRecord& record,
+                   std::string* earlier_skipped_reason) -> absl::Status;
+  // If progress that was read before its job does not match the job, sets
+  // `earlier_skipped_reason`.
+  auto ApplyJob(const std::string& id,
+                const KeyedRecord& record,
+                std::string* earlier_skipped_reason) -> absl::Status;
+  auto ApplyProgress(const std::string& id, const KeyedRecord& record)
       -> absl::Status;
-  auto TakeCancellation(const std::string& id, const KeyedRecord& record)
+  auto ApplyCancellation(const std::string& id, const KeyedRecord& record)
       -> absl::Status;
-  auto TakeAgent(const std::string& name, const KeyedRecord& record)
+  auto ApplyAgent(const std::string& name, const KeyedRecord& record)
       -> absl::Status;
-  auto TakeAgentGrants(const std::string& name, const KeyedRecord& record)
+  auto ApplyAgentGrants(const std::string& name, const KeyedRecord& record)
       -> absl::Status;
-  auto TakeWorkerEnds(const std::string& worker_id, const KeyedRecord& record)
+  auto ApplyWorkerEnds(const std::string& worker_id, const KeyedRecord& record)
       -> absl::Status;
-  auto TakeClaim(const std::string& name, const KeyedRecord& record)
+  auto ApplyClaim(const std::string& name, const KeyedRecord& record)
       -> absl::Status;
-  auto TakeResignation(const std::string& name, const KeyedRecord& record)
+  auto ApplyResignation(const std::string& name, const KeyedRecord& record)
       -> absl::Status;
-  auto TakePressures(const std::string& name, const KeyedRecord& record)
+  auto ApplyPressures(const std::string& name, const KeyedRecord& record)
       -> absl::Status;
-  auto DropJob(const std::string& id) -> void;
-  auto EntryOf(const std::string& id) -> StoredJob&;
+  auto RemoveJob(const std::string& id) -> void;
+  auto FindOrCreate(const std::string& id) -> StoredJob&;
 
   IsLinkEndpoint is_endpoint_;
   absl::flat_hash_map<std::string, std::unique_ptr<StoredJob>> jobs_;
   std::set<std::string> cancelled_ahead_;
-  // The job dropped last, kept until the next: an owner that works on it reads
-  // it once more when it is told of the change.
-  std::unique_ptr<StoredJob> dropped_job_;
+  // The job that was removed last, kept until the next removal: an owner that
+  // works on it reads it once more when it is notified of the change.
+  std::unique_ptr<StoredJob> removed_job_;
   std::map<std::string, AgentEntry> agents_;
   std::map<std::string, AgentGrants> grants_;
   std::map<std::string, WorkerEnds> worker_ends_;
--- a/Source/Jobs/job_owner.h
+++ b/Source/Jobs/job_owner.h
@@ -131,7 +131,7 @@
   // Up to when this owner is certain that no other one has followed it. What
   // ran under a lease that ended before is over; a later lease may have been
   // renewed by a successor.
-  std::function<auto()->TimePoint> alone_until;
+  std::function<auto()->TimePoint> exclusive_until;
   // Since 1970.
   std::function<auto()->std::chrono::milliseconds> wall_clock;
   // The policy that gives tickets.
--- a/Source/Jobs/job_records.h
+++ b/Source/Jobs/job_records.h
@@ -8,12 +8,12 @@
 
 namespace rhubarbhaven::jobs {
 
-// One record of a log that keeps the newest record of each key for good. An
-// empty value drops the key.
+// One record of a log that keeps the newest record of each key indefinitely. An
+// empty value removes the key.
 struct KeyedRecord {
   std::string key;
   std::string value;
-  // Place in the log; set on records that were read.
+  // Offset in the log; set on records that were read.
   uint64_t offset = 0;
 };
 
@@ -43,7 +43,8 @@
 auto MakeRecord(RecordKind kind,
                 const std::string& name,
                 const google::protobuf::Message& message) -> KeyedRecord;
-// A cancellation needs no content, but an empty value would drop the key.
+// A cancellation record. It needs no content, but an empty value would remove
+// the key.
 auto MakeCancellation(const std::string& job) -> KeyedRecord;
 
 }  // namespace rhubarbhaven::jobs
--- a/Source/Jobs/job_requests.cc
+++ b/Source/Jobs/job_requests.cc
@@ -14,7 +14,7 @@
   reply.verdict = verdict;
   reply.text = text;
   if (verdict == JobVerdict::kUnavailable) {
-    reply.retry_after = kComeBack;
+    reply.retry_after = kRetryAfter;
   }
   return reply;
 }
--- a/Source/Jobs/job_requests.h
+++ b/Source/Jobs/job_requests.h
@@ -9,14 +9,14 @@
 
 namespace rhubarbhaven::jobs {
 
-enum class JobCallKind { kSubmit, kAsk, kCancel };
+enum class JobCallKind { kSubmit, kQuery, kCancel };
 
-// One call of a caller about a job or a queue.
+// One request of a caller about a job or a queue.
 struct JobCall {
-  JobCallKind kind = JobCallKind::kAsk;
+  JobCallKind kind = JobCallKind::kQuery;
   std::string host;
   std::string path;
-  // With kSubmit; its id and queue follow from the path.
+  // With kSubmit. The id and queue are derived from the path.
   Job job;
   // How long the caller waits from when the call was received.
   std::chrono::milliseconds deadline{2000};
@@ -32,9 +32,9 @@
   kNoSuchQueue,
   // No such job in the log.
   kNoSuchJob,
-  // Not done, and never will be; come back after `retry_after`.
+  // Not carried out, and will not be. The caller may retry after `retry_after`.
   kUnavailable,
-  // Done, or not: the log did not answer in time.
+  // The outcome is unknown: the log did not respond in time.
   kUnknown,
   kInvalid,
 };
@@ -44,16 +44,16 @@
   JobState state = JOB_QUEUED;
   uint64_t pending = 0;
   std::chrono::milliseconds retry_after{0};
-  // Why, in one sentence.
+  // The reason, in one sentence.
   std::string text;
 };
 
-// A caller that cannot be served comes back after this; about the time in which
-// another entry takes over or a short outage ends.
-inline constexpr std::chrono::milliseconds kComeBack{1000};
+// A caller that cannot be served may retry after this time. It is about as long
+// as a takeover by another entry or a short outage.
+inline constexpr std::chrono::milliseconds kRetryAfter{1000};
 
 auto StateReply(JobState state) -> JobReply;
-// With kUnavailable it says when to come back.
+// With kUnavailable, the reply states when to retry.
 auto VerdictReply(JobVerdict verdict, const std::string& text) -> JobReply;
 
 using JobResponder = std::function<auto(JobReply)->void>;
--- a/Source/Jobs/jobs.h
+++ b/Source/Jobs/jobs.h
@@ -1,16 +1,15 @@
 #ifndef RHUBARBHAVEN_JOBS_JOBS_H_
 #define RHUBARBHAVEN_JOBS_JOBS_H_
 
-// Jobs that callers submit: their state in the platform's keyed log, who
-// decides for them, where their tasks run, and what an agent does for them.
-// No I/O, no locks, no clock, no threads.
+// Jobs that callers submit: their state in the platform's keyed log, the
+// election of the owner that decides about them, the placement of their tasks,
+// and the agents' part. No I/O, locks, clocks or threads.
 
 #include "Jobs/agent_registration.h"
 #include "Jobs/append_batcher.h"
 #include "Jobs/complaint_book.h"
 #include "Jobs/crash_record.h"
 #include "Jobs/entry_decisions.h"
-#include "Jobs/filler_pacing.h"
 #include "Jobs/heartbeat_check.h"
 #include "Jobs/image_interference.h"
 #include "Jobs/job_check.h"
@@ -22,6 +21,7 @@
 #include "Jobs/keyed_log.h"
 #include "Jobs/keyed_log_follower.h"
 #include "Jobs/lag_watch.h"
+#include "Jobs/opportunistic_pacing.h"
 #include "Jobs/owner_election.h"
 #include "Jobs/queue_directory.h"
 #include "Jobs/run_watch.h"
--- a/Source/Jobs/keyed_log.h
+++ b/Source/Jobs/keyed_log.h
@@ -13,9 +13,9 @@
 
 namespace rhubarbhaven::jobs {
 
-// Logs of the platform that keep the newest record of each key.
+// The platform's logs that keep the newest record of each key.
 enum class LogTopic {
-  // Jobs, agents and claims; written by this system.
+  // Jobs, agents and claims, written by this system.
   kJobs,
   // The operators' configuration.
   kOperators,
@@ -23,17 +23,19 @@
 
 struct ReadCall {
   LogTopic topic = LogTopic::kJobs;
-  // Place of the first record that is wanted.
+  // Offset of the first record to read.
   uint64_t from = 0;
-  // How long the answer may wait for a record.
+  // How long the response may wait for a record.
   std::chrono::milliseconds wait{0};
-  // The answer holds about so many bytes of records at most, but one record.
-  std::size_t most_bytes = 1 << 20;
+  // Approximate limit on the size of the records in the response. At least one
+  // record is returned.
+  std::size_t max_bytes = 1 << 20;
 };
 
 enum class ReadOutcome {
   kRecords,
-  // The records asked for have been deleted; the newest of each key remain.
+  // The requested records have been deleted by compaction. The newest record of
+  // each key remains.
   kGone,
   kFailed,
 };
@@ -41,23 +43,23 @@
 struct ReadResult {
   ReadOutcome outcome = ReadOutcome::kFailed;
   std::vector<KeyedRecord> records;
-  // Place behind the log's last record.
+  // Offset after the last record of the log.
   uint64_t end = 0;
-  // With kFailed: what went wrong, for the log.
+  // With kFailed: the error, for log lines.
   std::string error;
-  // With kFailed: no whole answer came in time.
+  // With kFailed: no complete response arrived in time.
   bool timed_out = false;
 };
 
 struct NewestCall {
   LogTopic topic = LogTopic::kJobs;
-  // Keys behind this one; empty for the first page.
+  // Lists the keys after this one. Empty for the first page.
   std::string after;
   std::chrono::milliseconds timeout{2000};
 };
 
-// One page of the newest records of each key. Pages are no snapshot: records
-// behind `end` of the first page must be read as well.
+// One page of the newest records of each key. The pages are not a consistent
+// snapshot: records from the `end` of the first page on must be read as well.
 struct NewestResult {
   bool answered = false;
   std::vector<KeyedRecord> records;
@@ -66,7 +68,8 @@
   std::string error;
 };
 
-// Calls to the log. Each answers once, also when the log is silent.
+// Calls to the log. Each calls back exactly once, also when the log is
+// unresponsive.
 struct KeyedLogPort {
   using OnAppend = std::function<auto(TimePoint, AppendResult)->void>;
   using OnRead = std::function<auto(TimePoint, ReadResult)->void>;
--- a/Source/Jobs/keyed_log_follower.cc
+++ b/Source/Jobs/keyed_log_follower.cc
@@ -6,8 +6,9 @@
 namespace rhubarbhaven::jobs {
 namespace {
 
-// A read that was answered lets the next one ask for one part in so many more.
-constexpr std::size_t kGrowthPart = 8;
+// After a successful read, the next one requests more bytes by one part in this
+// many.
+constexpr std::size_t kGrowthDivisor = 8;
 
 }  // namespace
 
@@ -17,17 +18,17 @@
     : options_(options),
       port_(std::move(port)),
       hooks_(std::move(hooks)),
-      read_bytes_(options.most_bytes),
-      page_timeout_(options.shortest_page_timeout) {}
+      read_bytes_(options.max_bytes),
+      page_timeout_(options.min_page_timeout) {}
 
 auto KeyedLogFollower::Start() -> void {
-  AskNewest();
+  RequestNewest();
 }
 
-auto KeyedLogFollower::AskNewest() -> void {
+auto KeyedLogFollower::RequestNewest() -> void {
   if (first_page_) {
     current_ = false;
-    hooks_.on_begin_anew();
+    hooks_.on_restart();
   }
   port_.newest({options_.topic, after_, page_timeout_},
                [this](TimePoint now, const NewestResult& result) -> void {
@@ -38,11 +39,11 @@
 auto KeyedLogFollower::OnNewest(TimePoint now, const NewestResult& result)
     -> void {
   if (!result.answered) {
-    page_timeout_ = std::min(page_timeout_ * 2, options_.longest_page_timeout);
-    Failed(now, result.error, /*read_on=*/false);
+    page_timeout_ = std::min(page_timeout_ * 2, options_.max_page_timeout);
+    OnFailure(now, result.error, /*read_on=*/false);
     return;
   }
-  Succeeded();
+  OnSuccess();
   if (first_page_) {
     first_page_ = false;
     next_ = result.end;
@@ -54,36 +55,36 @@
     Deliver(now, record);
   }
   if (result.more && !result.records.empty()) {
-    AskNewest();
+    RequestNewest();
     return;
   }
   after_.clear();
   first_page_ = true;
-  page_timeout_ = options_.shortest_page_timeout;
-  ForgetMissingKeys(now);
+  page_timeout_ = options_.min_page_timeout;
+  RemoveMissingKeys(now);
   Read(now);
 }
 
-auto KeyedLogFollower::ForgetMissingKeys(TimePoint now) -> void {
+auto KeyedLogFollower::RemoveMissingKeys(TimePoint now) -> void {
   std::vector<std::string> missing;
   std::set_difference(keys_.begin(), keys_.end(), keys_of_pages_.begin(),
                       keys_of_pages_.end(), std::back_inserter(missing));
   for (const auto& key : missing) {
     keys_.erase(key);
-    hooks_.on_key_gone(now, key);
+    hooks_.on_key_removed(now, key);
   }
 }
 
 auto KeyedLogFollower::Read(TimePoint now) -> void {
-  // The first read after the newest records does not wait: its answer shows
-  // that they are current, without which callers are told nothing.
+  // The first read after the newest records does not wait. Its response
+  // confirms that they are current, and callers get no answers before that.
   auto wait = std::chrono::milliseconds(0);
   if (current_) {
     wait = hooks_.read_wait ? hooks_.read_wait(options_.read_wait)
                             : options_.read_wait;
   }
-  asked_at_ = now;
-  asked_wait_ = wait;
+  requested_at_ = now;
+  requested_wait_ = wait;
   port_.read({options_.topic, next_, wait, read_bytes_},
              [this](TimePoint then, const ReadResult& result) -> void {
                OnRead(then, result);
@@ -94,27 +95,28 @@
   switch (result.outcome) {
     case ReadOutcome::kFailed:
       if (result.timed_out) {
-        read_bytes_ = std::max(read_bytes_ / 2, options_.fewest_bytes);
+        read_bytes_ = std::max(read_bytes_ / 2, options_.min_bytes);
       } else {
-        AskForMore();
+        GrowReadSize();
       }
-      Failed(now, result.error, /*read_on=*/true);
+      OnFailure(now, result.error, /*read_on=*/true);
       return;
     case ReadOutcome::kGone:
-      // Records that were not read have been deleted; the newest of each key
-      // are still there.
-      AskNewest();
+      // Records that were not read have been deleted by compaction. The newest
+      // record of each key is still available.
+      RequestNewest();
       return;
     case ReadOutcome::kRecords:
       break;
   }
   if (result.end < next_) {
-    // Another log, or one that was put back: its history is not ours.
-    AskNewest();
+    // The log was replaced or restored from a backup, so its history differs
+    // from the one that was read.
+    RequestNewest();
     return;
   }
-  Succeeded();
-  AskForMore();
+  OnSuccess();
+  GrowReadSize();
   for (const auto& record : result.records) {
     Deliver(now, record);
     next_ = record.offset + 1;
@@ -122,10 +124,10 @@
   if (next_ >= result.end) {
     current_ = true;
     caught_up_at_ = now;
-    // One without records was given at the end of its wait.
+    // A response without records was generated at the end of its wait.
     const auto waited =
-        result.records.empty() ? asked_wait_ : std::chrono::milliseconds(0);
-    hooks_.on_caught_up(now, std::min(now, asked_at_ + waited));
+        result.records.empty() ? requested_wait_ : std::chrono::milliseconds(0);
+    hooks_.on_caught_up(now, std::min(now, requested_at_ + waited));
   }
   PauseOrRead(now, next_ >= result.end && !result.records.empty());
 }
@@ -138,23 +140,24 @@
     return;
   }
   pausing_ = true;
-  hooks_.at(now + pause, [this, number = ++pauses_](TimePoint then) -> void {
-    if (number == pauses_) {
-      ReadOn(then);
-    }
-  });
+  hooks_.schedule(now + pause,
+                  [this, number = ++pauses_](TimePoint then) -> void {
+                    if (number == pauses_) {
+                      ResumeReading(then);
+                    }
+                  });
 }
 
-auto KeyedLogFollower::ReadOn(TimePoint now) -> void {
+auto KeyedLogFollower::ResumeReading(TimePoint now) -> void {
   if (pausing_) {
     pausing_ = false;
     Read(now);
   }
 }
 
-auto KeyedLogFollower::AskForMore() -> void {
+auto KeyedLogFollower::GrowReadSize() -> void {
   read_bytes_ =
-      std::min(read_bytes_ + read_bytes_ / kGrowthPart, options_.most_bytes);
+      std::min(read_bytes_ + read_bytes_ / kGrowthDivisor, options_.max_bytes);
 }
 
 auto KeyedLogFollower::Deliver(TimePoint now, const KeyedRecord& record)
@@ -167,30 +170,30 @@
   hooks_.on_record(now, record);
 }
 
-auto KeyedLogFollower::Failed(TimePoint now,
-                              const std::string& error,
-                              bool read_on) -> void {
-  if (reachable_ || !ever_reached_) {
+auto KeyedLogFollower::OnFailure(TimePoint now,
+                                 const std::string& error,
+                                 bool read_on) -> void {
+  if (reachable_ || !reachability_reported_) {
     hooks_.on_reachable(error);
   }
   reachable_ = false;
-  ever_reached_ = true;
-  backoff_ = std::clamp(backoff_ * 2, options_.first_backoff,
-                        options_.longest_backoff);
-  hooks_.at(now + backoff_, [this, read_on](TimePoint then) -> void {
+  reachability_reported_ = true;
+  backoff_ =
+      std::clamp(backoff_ * 2, options_.initial_backoff, options_.max_backoff);
+  hooks_.schedule(now + backoff_, [this, read_on](TimePoint then) -> void {
     if (read_on) {
       Read(then);
     } else {
-      AskNewest();
+      RequestNewest();
     }
   });
 }
 
-auto KeyedLogFollower::Succeeded() -> void {
+auto KeyedLogFollower::OnSuccess() -> void {
   backoff_ = std::chrono::milliseconds(0);
   if (!reachable_) {
     reachable_ = true;
-    ever_reached_ = true;
+    reachability_reported_ = true;
     hooks_.on_reachable("");
   }
 }
--- a/Source/Jobs/filler_speed.cc
+++ b/Source/Jobs/opportunistic_speed.cc
@@ -1,19 +1,19 @@
-#include "Jobs/filler_speed.h"
+#include "Jobs/opportunistic_speed.h"
 
 #include <algorithm>
 #include <string_view>
 
-#include "Jobs/filler_pacing.h"
+#include "Jobs/opportunistic_pacing.h"
 
 namespace rhubarbhaven::jobs {
 namespace {
 
-// Fillers are not given more processors than are taken to be unused: beyond
-// that each only slows the others.
-constexpr double kLeastUnusedShare = 0.9;
-// Share of what other runs hold that they are taken to use. Tasks that serve
-// are sized for their peaks and use about half.
-constexpr double kUsedOfHeld = 0.5;
+// Opportunistic tasks get no more processors than are estimated to be unused.
+// Beyond that, each one only slows the others.
+constexpr double kMinUnusedShare = 0.9;
+// The estimated use of the processors that other runs hold. Serving tasks are
+// sized for their peaks and use about half.
+constexpr double kUsedShareOfHeld = 0.5;
 auto DemandOf(const WorkerView& worker) -> FillerDemand {
   FillerDemand demand;
   const auto capacity = static_cast<double>(worker.capacity.millicores);
@@ -34,13 +34,14 @@
                  const JobStep& step) -> double {
   const double unused =
       static_cast<double>(worker.capacity.millicores) -
-      kUsedOfHeld * static_cast<double>(worker.held.millicores);
+      kUsedShareOfHeld * static_cast<double>(worker.held.millicores);
   const double wanted = demand.millicores + step.need().millicores();
   const double share = std::clamp(unused / std::max(1.0, wanted), 0.0, 1.0);
-  return share < kLeastUnusedShare ? 0.0 : share;
+  return share < kMinUnusedShare ? 0.0 : share;
 }
 
-// What the competing fillers press the serving image with at full speed.
+// The sum of the pressures of the competing opportunistic tasks on the serving
+// image at full speed.
 auto PressureAtFullSpeed(const FillerDemand& demand,
                          std::string_view serving_image,
                          const ImageInterference& interference) -> double {
@@ -51,7 +52,7 @@
   return pressure;
 }
 
-// Of one more run like the step's, beside the demand.
+// Returns the speed of one more run like the step's, beside the demand.
 auto SpeedBeside(const FillerDemand& demand,
                  const WorkerView& worker,
                  const JobStep& step,
@@ -63,27 +64,27 @@
       return speed;
     }
     const double pressure = interference.Pressure(serving.image, step.image());
-    if (pressure < kLeastPressure) {
+    if (pressure < kMinPressure) {
       continue;
     }
     const Latency base = interference.base(run);
-    const double room =
+    const double headroom =
         base <= Latency(0)
             ? 1.0
-            : kFillerAim * Latency(serving.target_ms) / base - 1.0;
+            : kTargetLatencyShare * Latency(serving.target_ms) / base - 1.0;
     const double at_full_speed =
         PressureAtFullSpeed(demand, serving.image, interference) +
         pressure * step.need().millicores() / capacity;
-    speed = std::min(speed, std::max(0.0, room) / at_full_speed);
+    speed = std::min(speed, std::max(0.0, headroom) / at_full_speed);
   }
   return speed;
 }
 
 }  // namespace
 
-auto FillerSpeed(WorkerView& worker,
-                 const TaskPlace& place,
-                 const ImageInterference& interference) -> double {
+auto OpportunisticSpeed(WorkerView& worker,
+                        const TaskPlace& place,
+                        const ImageInterference& interference) -> double {
   auto& known = worker.filler_speeds;
   if (known.load_version != worker.load_version) {
     known = {worker.load_version, DemandOf(worker), {}};
--- a/Source/Jobs/owner_agents.cc
+++ b/Source/Jobs/owner_agents.cc
@@ -224,7 +224,7 @@
     return;
   }
   std::vector<ServingSample> serving;
-  std::vector<FillerSample> fillers;
+  std::vector<OpportunisticSample> fillers;
   for (const auto& row : report.running()) {
     const auto place = Locate(row.task());
     if (!place) {
@@ -281,7 +281,7 @@
   constexpr Duration kPast{1};
   // Later leases may have been renewed by a successor that this owner does not
   // know of: the runs go on, or have ended and the successor knows.
-  const TimePoint certain = hooks_.alone_until();
+  const TimePoint certain = hooks_.exclusive_until();
   while (const auto number = leases_.PopDue(certain - kPast)) {
     WorkerView& worker = *numbered_.at(*number);
     if (certain <= worker.lease_bound) {
--- a/Source/Jobs/owner_census.cc
+++ b/Source/Jobs/owner_census.cc
@@ -38,7 +38,7 @@
   if (census_done_ || !active()) {
     return;
   }
-  if (hooks_.alone_until() < CensusEnd()) {
+  if (hooks_.exclusive_until() < CensusEnd()) {
     NoteCensusWaits(now);
     return;
   }
--- a/Source/Jobs/owner_election.cc
+++ b/Source/Jobs/owner_election.cc
@@ -6,13 +6,14 @@
 namespace rhubarbhaven::jobs {
 namespace {
 
-// A time without an answer that is longer than this counts as no silence of the
-// owner: nobody could renew while nobody could read.
-constexpr std::chrono::milliseconds kReadingGap{1500};
-constexpr std::chrono::milliseconds kShortestReadWait{20};
-// Numbers beyond any lease, which would not fit a time.
-constexpr std::chrono::milliseconds kLongestTold{600000};
-// The clocks of two entries may differ in speed by this share.
+// A longer gap between two successful reads does not count as a missing renewal
+// of the owner: while no entry could read, the owner could not renew either.
+constexpr std::chrono::milliseconds kMaxReadGap{1500};
+constexpr std::chrono::milliseconds kMinReadWait{20};
+// Upper bound of the duration that a claim may state. Larger values exceed any
+// lease and would overflow a time point.
+constexpr std::chrono::milliseconds kMaxReportedGrants{600000};
+// The rates of the clocks of two entries may differ by this fraction.
 constexpr double kClockDrift = 0.02;
 
 }  // namespace
@@ -26,34 +27,34 @@
   any_claim_ = true;
   newest_read_ = now;
   if (!claim.reads_nothing()) {
-    alive_read_ = now;
-    silent_for_ = Duration(0);
+    live_claim_read_ = now;
+    unrenewed_for_ = Duration(0);
   }
-  if (mine(claim) && claim.fence() == fence_) {
+  if (IsOwnClaim(claim) && claim.fence() == fence_) {
     confirmed_ = !claim.released();
     stored_ = true;
     return;
   }
   if (claim.fence() >= fence_) {
-    // Somebody else's claim came later than ours.
+    // Another entry's claim follows this entry's claim.
     OnClaimLost();
   }
 }
 
-auto OwnerElection::OnCaughtUp(TimePoint now, TimePoint shown) -> void {
-  const TimePoint from = std::max(shown_until_, alive_read_);
-  if (from != TimePoint() && from < shown && shown - from <= kReadingGap) {
-    silent_for_ += shown - from;
+auto OwnerElection::OnCaughtUp(TimePoint now, TimePoint as_of) -> void {
+  const TimePoint from = std::max(read_as_of_, live_claim_read_);
+  if (from != TimePoint() && from < as_of && as_of - from <= kMaxReadGap) {
+    unrenewed_for_ += as_of - from;
   }
-  shown_until_ = std::max(shown_until_, shown);
+  read_as_of_ = std::max(read_as_of_, as_of);
   caught_up_ = now;
 }
 
 auto OwnerElection::OnResignationRead(TimePoint now,
                                       const std::string& entry,
                                       uint64_t fence) -> bool {
-  // Its orders may still be on their way; a lease counts from the report that
-  // they answer.
+  // Orders of the replaced owner may still be in transit. A lease counts from
+  // the report that they answer.
   const TimePoint over = now + options_.lease;
   const bool ends_wait = fence_ != 0 && entry == replaced_owner_ &&
                          fence + 1 >= fence_ && over < earlier_.last_owner;
@@ -76,7 +77,7 @@
 
 auto OwnerElection::ClaimDue(TimePoint now) -> std::optional<OwnerClaim> {
   if (fence_ == 0) {
-    if (!HasGrounds(now)) {
+    if (!MayClaim(now)) {
       return std::nullopt;
     }
     fence_ = newest_.fence() + 1;
@@ -106,8 +107,9 @@
           .count());
 }
 
-// A dead or released owner grants nothing from now on; one that may only be cut
-// off from the log goes on for a while. Owners before it may be cut off still.
+// An owner that has ended or released its claim grants nothing from now on. One
+// that may only be disconnected from the log continues for a while, and owners
+// before it may still be disconnected as well.
 auto OwnerElection::GrantsBefore(TimePoint now) const -> EarlierGrants {
   const Duration longest = options_.unverified_limit + options_.lease;
   EarlierGrants grants{now + options_.lease, TimePoint()};
@@ -115,19 +117,21 @@
     return grants;
   }
   if (!newest_.notes_grants()) {
-    // An owner of a version that says nothing of those before it.
+    // The owner runs a version that does not state the grants of its
+    // predecessors.
     grants.last_owner =
         newest_.released() ? now + options_.lease : newest_read_ + longest;
     grants.before_last_owner = grants.last_owner;
     return grants;
   }
-  if (!newest_.released() && !predecessor_is_dead()) {
+  if (!newest_.released() && !predecessor_has_ended()) {
     grants.last_owner = newest_read_ + longest;
   }
-  // A claim of another writer may say anything; no grants hold for longer.
+  // A claim of a foreign writer may contain any value. No grant lasts longer
+  // than this.
   const Duration earlier = std::min<Duration>(
       std::chrono::milliseconds(std::min<uint64_t>(newest_.earlier_grants_ms(),
-                                                   kLongestTold.count())),
+                                                   kMaxReportedGrants.count())),
       longest);
   grants.before_last_owner =
       newest_read_ +
@@ -156,53 +160,53 @@
          now < verified_ + options_.unverified_limit;
 }
 
-auto OwnerElection::HasGrounds(TimePoint now) const -> bool {
-  if (!Reads(now, kReadingGap)) {
+auto OwnerElection::MayClaim(TimePoint now) const -> bool {
+  if (!ReadWithin(now, kMaxReadGap)) {
     return false;
   }
-  if (!any_claim_ || newest_.released() || predecessor_is_dead()) {
+  if (!any_claim_ || newest_.released() || predecessor_has_ended()) {
     return true;
   }
-  return silent_for_ > SilenceToClaim();
+  return unrenewed_for_ > ClaimTimeout();
 }
 
-auto OwnerElection::Reads(TimePoint now, std::chrono::milliseconds gap) const
-    -> bool {
+auto OwnerElection::ReadWithin(TimePoint now,
+                               std::chrono::milliseconds gap) const -> bool {
   return caught_up_ != TimePoint() && now - caught_up_ < gap;
 }
 
-auto OwnerElection::SilenceToClaim() const -> std::chrono::milliseconds {
+auto OwnerElection::ClaimTimeout() const -> std::chrono::milliseconds {
   const auto own_part =
       StableHash(options_.name, newest_.fence()) %
       static_cast<uint64_t>(std::max<int64_t>(1, options_.spread.count()));
-  return options_.silence + std::chrono::milliseconds(own_part);
+  return options_.claim_timeout + std::chrono::milliseconds(own_part);
 }
 
-auto OwnerElection::ClaimIsGroundless(TimePoint now) const -> bool {
-  return fence_ != 0 && !stored_ && !HasGrounds(now);
+auto OwnerElection::ClaimIsUnjustified(TimePoint now) const -> bool {
+  return fence_ != 0 && !stored_ && !MayClaim(now);
 }
 
 auto OwnerElection::ReadWait(std::chrono::milliseconds longest) const
     -> std::chrono::milliseconds {
   if (fence_ != 0) {
-    // Answers come often enough to show that the owner reads.
+    // Responses arrive often enough to confirm that the owner reads the log.
     return std::min(longest, options_.renew_interval / 2);
   }
-  if (!any_claim_ || silent_for_ > SilenceToClaim()) {
+  if (!any_claim_ || unrenewed_for_ > ClaimTimeout()) {
     return longest;
   }
   const auto left = std::chrono::ceil<std::chrono::milliseconds>(
-      SilenceToClaim() - silent_for_);
-  return std::clamp(left, kShortestReadWait, longest);
+      ClaimTimeout() - unrenewed_for_);
+  return std::clamp(left, kMinReadWait, longest);
 }
 
-// A process of the same name that holds the claim is gone, or is this one and
-// has given up: an entry runs once.
-auto OwnerElection::predecessor_is_dead() const -> bool {
+// Each entry runs as one process. An earlier process of the same name that
+// holds the claim has ended, or is this process after it gave up the claim.
+auto OwnerElection::predecessor_has_ended() const -> bool {
   return newest_.owner() == options_.name;
 }
 
-auto OwnerElection::mine(const OwnerClaim& claim) const -> bool {
+auto OwnerElection::IsOwnClaim(const OwnerClaim& claim) const -> bool {
   return claim.owner() == options_.name &&
          claim.incarnation() == options_.incarnation;
 }
--- a/Source/Jobs/owner_moves.cc
+++ b/Source/Jobs/owner_moves.cc
@@ -1,7 +1,7 @@
 #include <algorithm>
 
-#include "Jobs/filler_speed.h"
 #include "Jobs/job_owner.h"
+#include "Jobs/opportunistic_speed.h"
 
 // Fillers that are slowed for long are moved to workers where they are not.
 //
--- a/Source/Jobs/owner_roster.cc
+++ b/Source/Jobs/owner_roster.cc
@@ -145,7 +145,7 @@
     const auto last = std::max(worker.registered_at, worker.heard_at);
     // An agent without a worker has nothing that a lease could keep.
     const bool leased =
-        hooks_.alone_until() <= worker.lease_bound && !worker.left;
+        hooks_.exclusive_until() <= worker.lease_bound && !worker.left;
     const auto silence =
         worker.left ? options_.forget_left_after : options_.forget_agent_after;
     if (!leased && now - last >= silence) {
--- a/Source/Jobs/place_choice.cc
+++ b/Source/Jobs/place_choice.cc
@@ -7,7 +7,7 @@
 #include <cmath>
 #include <limits>
 
-#include "Jobs/filler_speed.h"
+#include "Jobs/opportunistic_speed.h"
 
 namespace rhubarbhaven::jobs {
 namespace {
@@ -202,7 +202,7 @@
            kSameStepCost * worker.CountOf(place) - UsedShare(worker);
   }
   if (step.uses_spare_processors()) {
-    const double speed = FillerSpeed(worker, place, interference);
+    const double speed = OpportunisticSpeed(worker, place, interference);
     if (speed < kLeastFillerSpeed && !any_speed) {
       return std::numeric_limits<double>::infinity();
     }
--- a/Source/Jobs/queue_directory.h
+++ b/Source/Jobs/queue_directory.h
@@ -9,7 +9,7 @@
 
 namespace rhubarbhaven::jobs {
 
-// A queue of the configuration, which callers address by host and path.
+// A queue of the configuration. Callers address it by host and path.
 struct Queue {
   std::string name;
   std::string host;
@@ -20,9 +20,10 @@
 // A service whose workers run tasks.
 struct WorkerService {
   std::string name;
-  // Its workers refuse what does not fit; others start all they are told to.
-  bool refuses_overload = true;
-  // Its instances are off and cost nothing.
+  // Its workers reject tasks for which they have no room. Other workers start
+  // every task they receive.
+  bool rejects_overload = true;
+  // Its instances are switched off and cost nothing.
   bool standby = false;
 };
 
@@ -33,10 +34,11 @@
   std::vector<WorkerService> services;
 };
 
-// Finds a queue in the newest configuration; older versions never replace it.
+// Finds a queue in the newest configuration. An older version never replaces a
+// newer one.
 class QueueDirectory {
  public:
-  // False if the version is not newer than the one in force.
+  // Returns false if the version is not newer than the one in force.
   auto Adopt(QueueConfiguration configuration) -> bool;
   auto known() const -> bool { return configuration_.version != 0; }
   auto version() const -> uint64_t { return configuration_.version; }
@@ -45,7 +47,7 @@
       -> const Queue*;
   auto FindByName(const std::string& name) const -> const Queue*;
   auto FindService(const std::string& name) const -> const WorkerService*;
-  // False if the configuration names services, but not this one.
+  // Returns false if the configuration lists services, but not this one.
   auto MayUseService(const std::string& name) const -> bool;
 
  private:
--- a/Source/Jobs/read_barrier.cc
+++ b/Source/Jobs/read_barrier.cc
@@ -6,30 +6,30 @@
 namespace rhubarbhaven::jobs {
 namespace {
 
-// Calls that wait at once. Each is held for a few milliseconds, or until its
-// deadline if the log is away.
-constexpr std::size_t kMostWaiters = 1024;
-// Between two reads: who asks for what is not there must not use up the log's
-// reads.
-constexpr std::chrono::milliseconds kBetweenReads{20};
-// A read from beyond the end is answered with the end, without records.
-constexpr uint64_t kBeyondTheEnd = 1ULL << 40;
+// Maximum number of concurrent waiters. Each waits for a few milliseconds, or
+// until its deadline if the log is unavailable.
+constexpr std::size_t kMaxWaiters = 1024;
+// Minimum interval between two reads. Requests for jobs that do not exist must
+// not exhaust the read capacity of the log.
+constexpr std::chrono::milliseconds kMinReadInterval{20};
+// A read from an offset after the end returns the end and no records.
+constexpr uint64_t kBeyondEnd = 1ULL << 40;
 
 }  // namespace
 
 ReadBarrier::ReadBarrier(ReadBarrierHooks hooks) : hooks_(std::move(hooks)) {}
 
-auto ReadBarrier::Await(TimePoint now, TimePoint give_up_at, OnPassed on_passed)
+auto ReadBarrier::Await(TimePoint now, TimePoint expires_at, OnPassed on_passed)
     -> void {
-  if (!hooks_.read_to() || waiters_.size() >= kMostWaiters) {
+  if (!hooks_.read_to() || waiters_.size() >= kMaxWaiters) {
     on_passed(now, false);
     return;
   }
   Waiter waiter;
-  waiter.give_up_at = give_up_at;
+  waiter.expires_at = expires_at;
   waiter.on_passed = std::move(on_passed);
   waiters_.push_back(std::move(waiter));
-  AskEnd(now);
+  RequestEnd(now);
 }
 
 auto ReadBarrier::OnReadTo(TimePoint now) -> void {
@@ -44,61 +44,62 @@
 auto ReadBarrier::Tick(TimePoint now) -> void {
   OnReadTo(now);
   Settle(now, /*passed=*/false, [now](const Waiter& waiter) -> bool {
-    return waiter.give_up_at <= now;
+    return waiter.expires_at <= now;
   });
-  AskEnd(now);
+  RequestEnd(now);
 }
 
 auto ReadBarrier::next_wake() const -> TimePoint {
-  TimePoint wake = !asking_ && ReadIsWanted() ? ask_at_ : TimePoint::max();
+  TimePoint wake =
+      !request_in_flight_ && NeedsRead() ? next_request_at_ : TimePoint::max();
   for (const auto& waiter : waiters_) {
-    wake = std::min(wake, waiter.give_up_at);
+    wake = std::min(wake, waiter.expires_at);
   }
   return wake;
 }
 
-auto ReadBarrier::AskEnd(TimePoint now) -> void {
-  if (asking_ || now < ask_at_ || !ReadIsWanted()) {
+auto ReadBarrier::RequestEnd(TimePoint now) -> void {
+  if (request_in_flight_ || now < next_request_at_ || !NeedsRead()) {
     return;
   }
-  asking_ = true;
-  ask_at_ = now + kBetweenReads;
+  request_in_flight_ = true;
+  next_request_at_ = now + kMinReadInterval;
   for (auto& waiter : waiters_) {
-    waiter.asked = true;
+    waiter.requested = true;
   }
   ReadCall call;
-  call.from = kBeyondTheEnd;
+  call.from = kBeyondEnd;
   hooks_.read(call, [this](TimePoint then, const ReadResult& result) -> void {
     OnEnd(then, result);
   });
 }
 
 auto ReadBarrier::OnEnd(TimePoint now, const ReadResult& result) -> void {
-  asking_ = false;
+  request_in_flight_ = false;
   const auto read_to = hooks_.read_to();
-  // A log that ends before what was read of it is another one.
+  // If the log ends before the last record read, it has been replaced.
   const bool answered = result.outcome == ReadOutcome::kRecords && read_to &&
                         *read_to <= result.end;
   if (answered) {
     for (auto& waiter : waiters_) {
-      if (waiter.asked && !waiter.end) {
+      if (waiter.requested && !waiter.end) {
         waiter.end = result.end;
       }
     }
-    hooks_.read_on(now);
+    hooks_.resume_reading(now);
     OnReadTo(now);
   } else {
     Settle(now, /*passed=*/false, [](const Waiter& waiter) -> bool {
-      return waiter.asked && !waiter.end;
+      return waiter.requested && !waiter.end;
     });
   }
-  AskEnd(now);
+  RequestEnd(now);
 }
 
-auto ReadBarrier::ReadIsWanted() const -> bool {
+auto ReadBarrier::NeedsRead() const -> bool {
   return std::any_of(
       waiters_.begin(), waiters_.end(),
-      [](const Waiter& waiter) -> bool { return !waiter.asked; });
+      [](const Waiter& waiter) -> bool { return !waiter.requested; });
 }
 
 auto ReadBarrier::Settle(TimePoint now,
--- a/Source/Jobs/read_barrier.h
+++ b/Source/Jobs/read_barrier.h
@@ -12,27 +12,28 @@
 
 struct ReadBarrierHooks {
   std::function<auto(const ReadCall&, KeyedLogPort::OnRead)->void> read;
-  // Place behind the last record of the log that was read; none while the
-  // newest records are being read anew.
+  // Offset after the last record of the log that was read; none while the
+  // newest records are being re-read.
   std::function<auto()->std::optional<uint64_t>> read_to;
   // Ends a pause between two reads.
-  std::function<auto(TimePoint)->void> read_on;
+  std::function<auto(TimePoint)->void> resume_reading;
 };
 
-// Tells when a copy of the log holds all that the log held when somebody asked.
-// Only then it may be said that something is not there. All of its state
-// belongs to one thread, on which reads are answered.
+// Reports when the local copy of the log contains everything that the log
+// contained at the time of a request. Only then can the absence of a record be
+// confirmed. All state belongs to one thread, on which reads call back.
 class ReadBarrier {
  public:
-  // `passed` is false if that could not be found out in time.
+  // `passed` is false if this could not be determined in time.
   using OnPassed = std::function<auto(TimePoint, bool passed)->void>;
 
   explicit ReadBarrier(ReadBarrierHooks hooks);
   ReadBarrier(const ReadBarrier&) = delete;
   auto operator=(const ReadBarrier&) -> ReadBarrier& = delete;
 
-  // Answers once, by `give_up_at` at the latest if it is ticked by then.
-  auto Await(TimePoint now, TimePoint give_up_at, OnPassed on_passed) -> void;
+  // Calls `on_passed` exactly once, at `expires_at` at the latest if `Tick` is
+  // called by then.
+  auto Await(TimePoint now, TimePoint expires_at, OnPassed on_passed) -> void;
   // More of the log has been read.
   auto OnReadTo(TimePoint now) -> void;
   auto Tick(TimePoint now) -> void;
@@ -40,28 +41,29 @@
 
  private:
   struct Waiter {
-    TimePoint give_up_at;
+    TimePoint expires_at;
     OnPassed on_passed;
-    // The read under way began after it came.
-    bool asked = false;
-    // The log's end, as a read that began after it came has shown it.
+    // The read in flight began after this waiter was added.
+    bool requested = false;
+    // The log's end, as reported by a read that began after this waiter was
+    // added.
     std::optional<uint64_t> end;
   };
 
-  auto AskEnd(TimePoint now) -> void;
+  auto RequestEnd(TimePoint now) -> void;
   auto OnEnd(TimePoint now, const ReadResult& result) -> void;
-  // Whether somebody waits for a read that has not begun.
-  auto ReadIsWanted() const -> bool;
-  // Takes out those that `done` names and answers them.
+  // Whether a waiter needs a read that has not begun.
+  auto NeedsRead() const -> bool;
+  // Removes the waiters for which `done` is true and calls them back.
   auto Settle(TimePoint now,
               bool passed,
               const std::function<auto(const Waiter&)->bool>& done) -> void;
 
   ReadBarrierHooks hooks_;
   std::vector<Waiter> waiters_;
-  bool asking_ = false;
-  // The next read begins no sooner.
-  TimePoint ask_at_;
+  bool request_in_flight_ = false;
+  // The earliest start of the next read.
+  TimePoint next_request_at_;
 };
 
 }  // namespace rhubarbhaven::jobs
--- a/Source/Jobs/record_reader.cc
+++ b/Source/Jobs/record_reader.cc
@@ -15,34 +15,36 @@
   return absl::InvalidArgumentError(text);
 }
 
-// A message of its own, so that nothing remains of one that was half read.
+// Parses into a new message, so that nothing remains of a partly parsed one.
 template <typename Message>
 auto Parse(const std::string& value) -> absl::StatusOr<Message> {
   Message message;
   if (!message.ParseFromString(value)) {
-    return Problem(absl::StrCat("its ", value.size(), " bytes cannot be read"));
+    return Problem(
+        absl::StrCat("its value of ", value.size(), " bytes cannot be parsed"));
   }
   return message;
 }
 
-// The name in the record's key is the one by which everybody finds it.
+// Every reader finds the record by the name in its key.
 auto CheckName(const std::string& in_key, const std::string& in_value)
     -> absl::Status {
   if (in_key.empty()) {
     return Problem("its key has no name");
   }
   if (in_key != in_value) {
-    return Problem(absl::StrCat("it names \"", in_value, "\", not its key"));
+    return Problem(
+        absl::StrCat("it names \"", in_value, "\", not the name in its key"));
   }
   return absl::OkStatus();
 }
 
 auto CheckNoName(const std::string& in_key) -> absl::Status {
   return in_key.empty() ? absl::OkStatus()
-                        : Problem("no such key belongs to this system");
+                        : Problem("the key is of no known kind");
 }
 
-// The owner writes steps in their order, each once.
+// The owner writes steps in ascending order, each once.
 auto CheckSteps(const Job& job, const OccurrenceProgress& occurrence)
     -> absl::Status {
   uint32_t next = 0;
@@ -68,8 +70,8 @@
   }
   auto status = CheckName(id, job->id());
   if (status.ok()) {
-    // A step that waits for itself would never start, one that waits for a
-    // step beyond the job's would be looked up beyond the list.
+    // A step that waits for itself would never start. One that waits for a step
+    // that the job does not have would be looked up beyond the list.
     status = CheckJob(*job);
   }
   if (!status.ok()) {
@@ -85,8 +87,8 @@
     return status;
   }
   auto progress = Parse<JobProgress>(value);
-  // A state beyond the known ones would count as over, and the job would be
-  // dropped; only a cancellation, which has its own record, may cancel.
+  // An unknown state would count as terminal, and the job would be removed.
+  // Only a cancellation, which has its own record, may cancel a job.
   if (progress.ok() && (!JobState_IsValid(progress->state()) ||
                         progress->state() == JOB_CANCELLED)) {
     return Problem(absl::StrCat("its state ",
@@ -101,8 +103,8 @@
   const uint32_t total = std::max(1U, job.occurrences());
   uint32_t next = 0;
   for (const auto& occurrence : progress.occurrences()) {
-    // Without a gap: what a gap leaves out would never be opened, and its job
-    // never complete.
+    // The numbers must be contiguous: an occurrence left out would never be
+    // opened, and the job would never complete.
     if (occurrence.number() != next || occurrence.number() >= total) {
       return Problem(absl::StrCat("it lists occurrence ", occurrence.number(),
                                   " of ", total, ", expected ", next));
@@ -122,10 +124,10 @@
   if (!status.ok()) {
     return status;
   }
-  // Whatever else stands there, nobody has asked for the job's end.
+  // Any other content is not a request to end the job.
   return value == MakeCancellation(id).value
              ? absl::OkStatus()
-             : Problem("its content is no cancellation");
+             : Problem("its content is not a cancellation");
 }
 
 auto ReadAgent(const std::string& name, const std::string& value)
@@ -139,7 +141,7 @@
     return status;
   }
   if (entry->link_endpoint().empty()) {
-    return Problem("it names no endpoint");
+    return Problem("it has no endpoint");
   }
   return entry;
 }
@@ -155,7 +157,7 @@
     return status;
   }
   if (grants->fence() < 1) {
-    return Problem("it names no owner");
+    return Problem("its fence is missing");
   }
   return grants;
 }
@@ -166,8 +168,9 @@
   if (!ends.ok()) {
     return ends;
   }
-  // Ends up to the number given are not looked at any more: believed of the
-  // wrong worker, a task that has ended would be waited for.
+  // Ends up to the stored number are not processed again. If the number
+  // belonged to another worker, the owner would wait for a task that has
+  // already ended.
   auto status = CheckName(worker_id, ends->worker_id());
   if (!status.ok()) {
     return status;
@@ -182,9 +185,9 @@
     return status;
   }
   if (value.empty()) {
-    // The next claim would begin again at the lowest fence, which agents and
-    // workers refuse.
-    return Problem("the claim cannot be dropped");
+    // Without this check, the next claim would restart at the lowest fence,
+    // which agents and workers reject.
+    return Problem("the claim cannot be removed");
   }
   auto claim = Parse<OwnerClaim>(value);
   if (!claim.ok()) {
@@ -193,11 +196,11 @@
   if (claim->owner().empty()) {
     return Problem("it names no owner");
   }
-  // The next claim has the next fence, and the numbers of runs begin with it:
-  // beyond its bits they would start again from the lowest.
-  if (claim->fence() < 1 || claim->fence() >= kLargestFence) {
+  // The next claim has the next higher fence, and run numbers begin with the
+  // fence. Beyond its bits, they would restart at the lowest number.
+  if (claim->fence() < 1 || claim->fence() >= kMaxFence) {
     return Problem(absl::StrCat("its fence is ", claim->fence(),
-                                ", allowed is 1 to ", kLargestFence - 1));
+                                ", allowed is 1 to ", kMaxFence - 1));
   }
   return claim;
 }
@@ -208,14 +211,14 @@
   if (!resignation.ok()) {
     return resignation;
   }
-  // Believed of the wrong entry, an owner that still grants would not be waited
-  // for.
+  // If a resignation were attributed to the wrong entry, a successor would not
+  // wait for an owner that still grants.
   auto status = CheckName(name, resignation->owner());
   if (!status.ok()) {
     return status;
   }
   if (resignation->fence() < 1) {
-    return Problem("it names no claim");
+    return Problem("its fence is missing");
   }
   return resignation;
 }
@@ -231,8 +234,8 @@
     return learned;
   }
   for (const auto& pressure : learned->pressures()) {
-    // What is no number stays so in every estimate that it enters, and no
-    // filler would find a place.
+    // A value that is not finite propagates to every estimate that uses it, and
+    // no opportunistic task would be placed.
     if (!std::isfinite(pressure.pressure()) || pressure.pressure() < 0.0) {
       return Problem(absl::StrCat("its pressure of \"", pressure.filler_image(),
                                   "\" on \"", pressure.serving_image(),
--- a/Source/Jobs/record_reader.h
+++ b/Source/Jobs/record_reader.h
@@ -9,30 +9,31 @@
 
 #include "Base/base.h"
 
-// Reads values of the log's records. Another writer may have put them: an error
-// says what is wrong with a record that says nothing which can be used.
+// Parses the values of the log's records. They may come from a foreign writer:
+// an error describes what makes a record unusable.
 namespace rhubarbhaven::jobs {
 
-// Largest fence that is believed: a run's number has 34 bits for it, and the
-// claims that follow need room, too.
-inline constexpr uint64_t kLargestFence = 1ULL << 33;
+// Exclusive upper bound of accepted fences: a run number has 34 bits for the
+// fence, and later claims need higher ones.
+inline constexpr uint64_t kMaxFence = 1ULL << 33;
 
 auto ReadJob(const std::string& id, const std::string& value)
     -> absl::StatusOr<Job>;
-// Whether it fits its job is for `CheckProgress`, once that is known.
+// `CheckProgress` checks whether the progress matches its job, once the job is
+// known.
 auto ReadProgress(const std::string& id, const std::string& value)
     -> absl::StatusOr<JobProgress>;
 auto CheckProgress(const Job& job, const JobProgress& progress) -> absl::Status;
 auto CheckCancellation(const std::string& id, const std::string& value)
     -> absl::Status;
-// Whether the endpoint can be reached is not looked at.
+// Does not check whether the endpoint can be reached.
 auto ReadAgent(const std::string& name, const std::string& value)
     -> absl::StatusOr<AgentEntry>;
 auto ReadAgentGrants(const std::string& name, const std::string& value)
     -> absl::StatusOr<AgentGrants>;
 auto ReadWorkerEnds(const std::string& worker_id, const std::string& value)
     -> absl::StatusOr<WorkerEnds>;
-// There is one claim and one record of pressures, whose keys have no name.
+// There is one claim and one record of pressures. Their keys contain no name.
 auto ReadClaim(const std::string& name, const std::string& value)
     -> absl::StatusOr<OwnerClaim>;
 auto ReadResignation(const std::string& name, const std::string& value)
--- a/Source/Jobs/task_agent.cc
+++ b/Source/Jobs/task_agent.cc
@@ -9,7 +9,7 @@
 namespace {
 
 // A worker's lease ends this long before the agent's own, so that a renewal
-// that is a little late on its way grants nothing beyond it.
+// that is slightly delayed does not extend it beyond the agent's lease.
 constexpr std::chrono::milliseconds kLeaseMargin{100};
 
 auto Microseconds(TimePoint point) -> uint64_t {
@@ -35,7 +35,7 @@
                          const std::string& peer,
                          const AgentOrders& orders) -> void {
   if (orders.fence() < fence_) {
-    // A replaced owner learns from the fence of the report that it is one.
+    // The fence in the report notifies a replaced owner of its replacement.
     AgentReport report;
     report.set_fence(fence_);
     hooks_.report(peer, std::move(report));
@@ -49,25 +49,25 @@
   owner_peer_ = peer;
   ordered_at_ = now;
   if (!LeaseHolds(now)) {
-    // The owner may have given this worker's runs to others in the gap: what
-    // it ordered before must not start under a later lease.
+    // The owner may have started this worker's runs elsewhere during the gap.
+    // Orders from before the gap must not start under a later lease.
     ++lease_number_;
   }
-  TakeLease(now, orders);
+  RenewLease(now, orders);
   evacuated_ = orders.evacuated();
   if (orders.crashes_of_incarnation() == options_.incarnation) {
-    ForgetCrashes(now, orders.crashes_logged());
+    DiscardCrashes(now, orders.crashes_logged());
   }
-  TakeOrders(orders);
-  RunOrders(now);
+  AcceptOrders(orders);
+  ExecuteOrders(now);
   ListIfDue(now);
   Report(now, /*with_running=*/true);
 }
 
-auto TaskAgent::TakeLease(TimePoint now, const AgentOrders& orders) -> void {
+auto TaskAgent::RenewLease(TimePoint now, const AgentOrders& orders) -> void {
   const TimePoint from{std::chrono::microseconds(orders.granted_from_us())};
-  // Of an earlier process, whose clock may have been far ahead of this one: the
-  // lease would outlast all that the owner reckons with.
+  // The lease was granted to an earlier process, whose clock may have been far
+  // ahead of this one. It would last longer than the owner assumes.
   const bool of_another_process =
       orders.granted_to_incarnation() != 0 &&
       orders.granted_to_incarnation() != options_.incarnation;
@@ -80,7 +80,7 @@
 
 auto TaskAgent::OnHeartbeat(TimePoint now, const WorkerHeartbeat& heartbeat)
     -> bool {
-  if (ended_lives_.contains(heartbeat.worker_id)) {
+  if (ended_worker_ids_.contains(heartbeat.worker_id)) {
     return false;
   }
   if (heartbeat.worker_id == heartbeat_.worker_id) {
@@ -96,7 +96,7 @@
     return true;
   }
   if (!heartbeat_.worker_id.empty()) {
-    ended_lives_.insert(heartbeat_.worker_id);
+    ended_worker_ids_.insert(heartbeat_.worker_id);
     NoteCrash(now);
   }
   heartbeat_ = heartbeat;
@@ -107,7 +107,7 @@
 }
 
 auto TaskAgent::OnLeave(TimePoint now, const std::string& worker_id) -> void {
-  ended_lives_.insert(worker_id);
+  ended_worker_ids_.insert(worker_id);
   left_worker_id_ = worker_id;
   if (worker_id == heartbeat_.worker_id) {
     heartbeat_ = WorkerHeartbeat();
@@ -119,7 +119,7 @@
 }
 
 auto TaskAgent::Tick(TimePoint now) -> void {
-  RunOrders(now);
+  ExecuteOrders(now);
   ListIfDue(now);
   if (report_due_) {
     Report(now, /*with_running=*/false);
@@ -128,7 +128,7 @@
 
 auto TaskAgent::next_wake() const -> TimePoint {
   TimePoint wake = TimePoint::max();
-  if (!listing_under_way_ && !heartbeat_.worker_id.empty() && fence_ != 0) {
+  if (!listing_in_flight_ && !heartbeat_.worker_id.empty() && fence_ != 0) {
     wake = list_not_before_;
   }
   for (const auto& [number, order] : orders_) {
@@ -146,14 +146,14 @@
   orders_.clear();
   results_seen_ = 0;
   listed_ = false;
-  listing_under_way_ = false;
+  listing_in_flight_ = false;
   list_not_before_ = now;
 }
 
 auto TaskAgent::NoteCrash(TimePoint now) -> void {
   const auto crashed = run_watch_.TakeCrashed();
   if (heartbeat_.draining) {
-    // It was to end.
+    // A draining worker ends as planned.
     return;
   }
   for (auto run : crashed) {
@@ -162,11 +162,11 @@
     hooks_.log("crashed", run.task(), run.run(),
                absl::StrCat("its worker has crashed, it ran for ", run.ran_ms(),
                             " ms"));
-    crashes_.push_back({now + options_.tell_crashes, run});
+    crashes_.push_back({now + options_.crash_report_period, run});
   }
 }
 
-auto TaskAgent::ForgetCrashes(TimePoint now, uint64_t stored) -> void {
+auto TaskAgent::DiscardCrashes(TimePoint now, uint64_t stored) -> void {
   while (!crashes_.empty() && (crashes_.front().until < now ||
                                crashes_.front().run.number() <= stored)) {
     crashes_.pop_front();
@@ -183,15 +183,15 @@
   forget_through_ = 0;
   listed_ = false;
   listing_ = WorkerListing();
-  listing_under_way_ = false;
+  listing_in_flight_ = false;
   list_not_before_ = now;
-  silent_since_ = std::nullopt;
-  worker_lease_until_ = now + options_.longest_lease;
+  unresponsive_since_ = std::nullopt;
+  worker_lease_until_ = now + options_.max_lease;
   worker_clock_at_ = TimePoint();
 }
 
 auto TaskAgent::ListIfDue(TimePoint now) -> void {
-  if (listing_under_way_ || heartbeat_.worker_id.empty() || fence_ == 0 ||
+  if (listing_in_flight_ || heartbeat_.worker_id.empty() || fence_ == 0 ||
       now < list_not_before_) {
     return;
   }
@@ -199,12 +199,12 @@
   call.fence = fence_;
   call.forget_through = forget_through_;
   call.worker_id = heartbeat_.worker_id;
-  if (listed_ && !silent_since_ && LeaseHolds(now)) {
+  if (listed_ && !unresponsive_since_ && LeaseHolds(now)) {
     call.deadline = WorkerDeadline();
     call.wait = options_.list_wait;
     NoteGranted(now);
   }
-  listing_under_way_ = true;
+  listing_in_flight_ = true;
   hooks_.worker.list(call,
                      [this, now, epoch = epoch_](
                          TimePoint then, WorkerListing listing) -> void {
@@ -216,20 +216,20 @@
 
 auto TaskAgent::OnListing(TimePoint asked, TimePoint now, WorkerListing listing)
     -> void {
-  listing_under_way_ = false;
+  listing_in_flight_ = false;
   if (!listing.answered) {
-    if (!silent_since_) {
-      silent_since_ = asked;
+    if (!unresponsive_since_) {
+      unresponsive_since_ = asked;
     }
     list_not_before_ = now + options_.retry_pause;
     return;
   }
-  if (listing.other_life || listing.fenced) {
+  if (listing.other_worker_id || listing.fenced) {
     list_not_before_ = now + options_.retry_pause;
     return;
   }
-  const bool was_silent = silent_since_.has_value();
-  silent_since_ = std::nullopt;
+  const bool was_unresponsive = unresponsive_since_.has_value();
+  unresponsive_since_ = std::nullopt;
   const uint64_t newest_known =
       listing_.ended.empty() ? forget_through_ : listing_.ended.back().number();
   const bool new_ends =
@@ -246,12 +246,12 @@
   run_watch_.OnListing(asked, now, listing_.running);
   SettleVerified(asked);
   Pace(now);
-  if (first || was_silent) {
+  if (first || was_unresponsive) {
     Report(now, /*with_running=*/true);
   } else if (new_ends || report_due_) {
     Report(now, /*with_running=*/false);
   }
-  RunOrders(now);
+  ExecuteOrders(now);
   ListIfDue(now);
 }
 
@@ -268,14 +268,14 @@
         call,
         [this, run = call.run](TimePoint, WorkerCallResult result) -> void {
           if (result.outcome != WorkerCallOutcome::kDone) {
-            pacing_.OnUnsure(run);
+            pacing_.OnUnconfirmed(run);
           }
         });
   }
 }
 
 auto TaskAgent::GrantUntil() const -> TimePoint {
-  return silent_since_ && worker_lease_until_
+  return unresponsive_since_ && worker_lease_until_
              ? std::min(lease_until_, *worker_lease_until_)
              : lease_until_;
 }
@@ -292,11 +292,12 @@
 }
 
 auto TaskAgent::LeaseLapsed(TimePoint now) const -> bool {
-  if (!silent_since_ || !worker_lease_until_) {
+  if (!unresponsive_since_ || !worker_lease_until_) {
     return false;
   }
   const auto drift = std::chrono::duration_cast<Duration>(
-      (*worker_lease_until_ - *silent_since_) * options_.worker_clock_drift);
+      (*worker_lease_until_ - *unresponsive_since_) *
+      options_.worker_clock_drift);
   return now > *worker_lease_until_ + drift + kLeaseMargin;
 }
 
@@ -320,16 +321,17 @@
   report.set_draining_remaining_ms(
       static_cast<uint64_t>(heartbeat_.remaining.count()));
   report.set_pacing_version(pacing_version_);
-  report.set_worker_silent(silent_since_ &&
-                           now - *silent_since_ > options_.silent_after);
+  report.set_worker_silent(unresponsive_since_ &&
+                           now - *unresponsive_since_ >
+                               options_.unresponsive_after);
   report.set_worker_lapsed(worker_left_ || LeaseLapsed(now));
-  ForgetCrashes(now, 0);
+  DiscardCrashes(now, 0);
   for (const auto& crash : crashes_) {
     *report.add_crashed() = crash.run;
   }
-  // What was listed before the worker fell silent is no longer known to be so:
-  // an owner that has taken its runs for lost would take them back.
-  const bool listed = listed_ && !silent_since_;
+  // A listing from before the worker became unresponsive may be outdated. An
+  // owner that has declared its runs lost would treat them as running again.
+  const bool listed = listed_ && !unresponsive_since_;
   report.set_complete(listed && with_running);
   if (listed) {
     if (with_running) {
--- a/Source/Jobs/task_agent.h
+++ b/Source/Jobs/task_agent.h
@@ -12,40 +12,42 @@
 #include <vector>
 
 #include "Base/base.h"
-#include "Jobs/filler_pacing.h"
+#include "Jobs/opportunistic_pacing.h"
 #include "Jobs/run_watch.h"
 #include "Jobs/worker_port.h"
 
 namespace rhubarbhaven::jobs {
 
 struct TaskAgentOptions {
-  // Number of this start of the agent's process.
+  // Incarnation of the agent's process.
   uint64_t incarnation = 0;
-  // Longest wait of one listing; the worker's lease is renewed that often.
+  // Maximum wait of one listing. The worker's lease is renewed at this
+  // interval.
   std::chrono::milliseconds list_wait{400};
-  // Pause between listings while ends wait for the log: the worker answers at
-  // once as long as it lists ends that it may not forget.
+  // Pause between listings while task ends wait to be stored in the log: the
+  // worker responds at once as long as it lists ends that it may not discard.
   std::chrono::milliseconds list_pause{100};
-  // Pause after a listing that got no answer.
+  // Pause after a listing without a response.
   std::chrono::milliseconds retry_pause{150};
-  // A worker whose listings failed for this long counts as silent.
-  std::chrono::milliseconds silent_after{700};
-  // The longest lease that a worker gives: how long one may last that an
+  // A worker counts as unresponsive after its listings have failed for this
+  // long.
+  std::chrono::milliseconds unresponsive_after{700};
+  // The maximum lease that a worker grants, and so the bound of one that an
   // earlier process of this agent renewed.
-  std::chrono::milliseconds longest_lease{10000};
-  // A worker's clock may be slow by this share.
+  std::chrono::milliseconds max_lease{10000};
+  // A worker's clock may be slow by this fraction.
   double worker_clock_drift = 0.02;
-  // How long owners are told what a crash of the worker ended, if none stores
-  // it: longer than a takeover while the log is away.
-  std::chrono::milliseconds tell_crashes{30000};
+  // How long runs ended by a crash of the worker are reported if no owner
+  // stores them. It is longer than a takeover while the log is unavailable.
+  std::chrono::milliseconds crash_report_period{30000};
 };
 
-// Everything that the agent tells others.
+// The agent's calls to other components.
 struct TaskAgentHooks {
   WorkerPort worker;
-  // To the owner that sent the orders with the highest fence.
+  // Sends a report to the owner whose orders have the highest fence.
   std::function<auto(const std::string& peer, AgentReport)->void> report;
-  // One decision about a run, for the log.
+  // Logs one decision about a run.
   std::function<auto(const std::string& what,
                      const TaskName& task,
                      uint64_t run,
@@ -54,9 +56,10 @@
       log;
 };
 
-// An agent's decisions: the only caller of the worker beside it. It starts and
-// stops runs as the owner with the highest fence says, renews the worker's
-// lease while its own lease holds, and reports what runs and what ended.
+// An agent's decisions. It is the only caller of its worker. It starts and
+// stops runs as ordered by the owner with the highest fence, renews the
+// worker's lease while its own lease holds, and reports running tasks and task
+// ends.
 class TaskAgent {
  public:
   TaskAgent(TaskAgentOptions options, TaskAgentHooks hooks);
@@ -66,21 +69,21 @@
   auto OnOrders(TimePoint now,
                 const std::string& peer,
                 const AgentOrders& orders) -> void;
-  // False for a heartbeat of a life that is over.
+  // Returns false for a heartbeat of a worker process that has ended.
   auto OnHeartbeat(TimePoint now, const WorkerHeartbeat& heartbeat) -> bool;
-  // The worker ends as planned.
+  // The worker has announced that it stops as planned.
   auto OnLeave(TimePoint now, const std::string& worker_id) -> void;
   auto Tick(TimePoint now) -> void;
   auto next_wake() const -> TimePoint;
 
   auto draining() const -> bool { return heartbeat_.draining; }
-  // Life of the worker that was known last and has left; empty if there is one
-  // now, or none was known.
+  // Id of the worker that was known last and has left; empty if a worker is
+  // known now or none has been known.
   auto left_worker() const -> std::string {
     return worker_left_ ? left_worker_id_ : "";
   }
   auto fence() const -> uint64_t { return fence_; }
-  // When orders last came.
+  // When orders were last received.
   auto ordered_at() const -> TimePoint { return ordered_at_; }
 
  private:
@@ -91,47 +94,49 @@
     TaskName task;
     uint64_t run = 0;
     OrderState state = OrderState::kWaiting;
-    // An earlier call of this run may still be carried out.
-    bool unsure = false;
-    bool poisoned = false;
-    // A start whose run is to be stopped.
+    // An earlier call for this run may still be carried out.
+    bool unconfirmed = false;
+    bool revoked = false;
+    // A start for whose run a stop was received.
     bool withdrawn = false;
     TimePoint not_before;
-    // Lease under which the order came; it is void after that one's end.
+    // Lease under which the order was received. The order is void once that
+    // lease has ended.
     uint64_t lease_number = 0;
-    // With kVerifying: the result holds once a listing that was asked for
-    // later shows that the run is not there.
+    // With kVerifying: the outcome is final once a listing that was requested
+    // after this time shows that the run does not exist.
     TimePoint verify_after;
     OrderOutcome outcome = ORDER_DONE;
   };
   using OrderPtr = std::shared_ptr<Order>;
 
   auto AdoptFence(TimePoint now, uint64_t fence) -> void;
-  // Renews the lease, if the orders do and mean this process.
-  auto TakeLease(TimePoint now, const AgentOrders& orders) -> void;
-  auto TakeOrders(const AgentOrders& orders) -> void;
-  // Starts that wait and that the stop is for are not carried out any more.
+  // Renews the lease if the orders grant one to this process.
+  auto RenewLease(TimePoint now, const AgentOrders& orders) -> void;
+  auto AcceptOrders(const AgentOrders& orders) -> void;
+  // Withdraws the waiting starts to which the stop applies.
   auto WithdrawStarts(const StopOrder& stop) -> void;
-  // Whether a stop that came earlier is for it.
+  // Whether a stop that was received earlier applies to the start.
   auto HasStop(const StartOrder& start) const -> bool;
   auto ResetWorker(TimePoint now) -> void;
-  // The worker has another life, and the one before did not leave.
+  // Handles a new worker id when the previous worker did not leave.
   auto NoteCrash(TimePoint now) -> void;
-  // Those that an owner has stored, and old ones.
-  auto ForgetCrashes(TimePoint now, uint64_t stored) -> void;
-  auto RunOrders(TimePoint now) -> void;
-  // Ends orders to a worker whose lease has run out. Calls of before are too
-  // late for it by now: nothing of them is there, or will be. Left open, their
-  // tasks would wait for a worker that may be gone for good.
+  // Discards crashes that an owner has stored, and old ones.
+  auto DiscardCrashes(TimePoint now, uint64_t stored) -> void;
+  auto ExecuteOrders(TimePoint now) -> void;
+  // Ends orders to a worker whose lease has expired. The worker can no longer
+  // carry out earlier calls, so nothing runs because of them, and nothing will.
+  // If the orders remained open, their tasks would wait for a worker that may
+  // never return.
   auto SettleLapsed(TimePoint now) -> void;
-  auto RunOrder(TimePoint now, const OrderPtr& order) -> void;
+  auto ExecuteOrder(TimePoint now, const OrderPtr& order) -> void;
   auto CallStart(TimePoint now, const OrderPtr& order) -> void;
   auto CallStop(const OrderPtr& order) -> void;
   auto OnStarted(TimePoint now, const OrderPtr& order, WorkerCallResult result)
       -> void;
   auto OnStopped(TimePoint now, const OrderPtr& order, WorkerCallResult result)
       -> void;
-  auto RefuseStart(TimePoint now, const OrderPtr& order, OrderOutcome outcome)
+  auto RejectStart(TimePoint now, const OrderPtr& order, OrderOutcome outcome)
       -> void;
   auto Verify(TimePoint now, const OrderPtr& order, OrderOutcome outcome)
       -> void;
@@ -141,20 +146,22 @@
   auto SettleVerified(TimePoint asked) -> void;
   auto Pace(TimePoint now) -> void;
   auto LeaseHolds(TimePoint now) const -> bool { return now < lease_until_; }
-  // Until when a call that is made now may extend the worker's lease. A silent
-  // worker is granted no more time: its lease has to run out for its tasks to
-  // be started elsewhere, and calls without an answer are made again and again.
+  // The time until which a call made now may extend the worker's lease. The
+  // lease of an unresponsive worker is not extended: it has to expire before
+  // the worker's tasks can start elsewhere, and calls without a response are
+  // repeated indefinitely.
   auto GrantUntil() const -> TimePoint;
-  // The same by the worker's clock.
+  // The same time on the worker's clock.
   auto WorkerDeadline() const -> WorkerTime;
   auto NoteGranted(TimePoint now) -> void;
-  // The lease of a silent worker has run out, also by its own clock.
+  // Whether the lease of an unresponsive worker has expired, also by the
+  // worker's clock.
   auto LeaseLapsed(TimePoint now) const -> bool;
   auto Report(TimePoint now, bool with_running) -> void;
 
   TaskAgentOptions options_;
   TaskAgentHooks hooks_;
-  FillerPacing pacing_{FillerPacingOptions()};
+  OpportunisticPacing pacing_{OpportunisticPacingOptions()};
   uint64_t pacing_version_ = 0;
 
   uint64_t fence_ = 0;
@@ -162,46 +169,46 @@
   uint64_t owner_incarnation_ = 0;
   TimePoint ordered_at_;
   TimePoint lease_until_;
-  // Counts leases that followed on a gap.
+  // Number of leases that began after a gap.
   uint64_t lease_number_ = 0;
   uint64_t forget_through_ = 0;
   std::map<uint64_t, OrderPtr> orders_;
   uint64_t results_seen_ = 0;
 
   WorkerHeartbeat heartbeat_;
-  std::set<std::string> ended_lives_;
+  std::set<std::string> ended_worker_ids_;
   std::string left_worker_id_;
-  // The life that was known last has left, and no other was heard of since.
+  // The worker that was known last has left, and no other has appeared since.
   bool worker_left_ = false;
-  // Grows when the worker's life or the fence changes, so that answers to
-  // earlier calls are told apart.
+  // Increases when the worker id or the fence changes, to detect responses to
+  // earlier calls.
   uint64_t epoch_ = 0;
 
   RunWatch run_watch_;
-  // What crashes of the worker ended, oldest first.
-  struct ToldCrash {
+  // Runs ended by crashes of the worker, oldest first.
+  struct ReportedCrash {
     TimePoint until;
     CrashedRun run;
   };
-  std::deque<ToldCrash> crashes_;
+  std::deque<ReportedCrash> crashes_;
   uint64_t next_crash_ = 1;
 
-  bool listing_under_way_ = false;
+  bool listing_in_flight_ = false;
   TimePoint list_not_before_;
-  // The newest listing under the fence in force.
+  // The newest listing under the current fence.
   bool listed_ = false;
   TimePoint listed_at_;
   WorkerListing listing_;
-  // Since when listings fail; none while they are answered.
-  std::optional<TimePoint> silent_since_;
-  // By the worker's clock when it was last heard, and when that was.
+  // Since when listings have failed; none while they are answered.
+  std::optional<TimePoint> unresponsive_since_;
+  // The worker's clock in its last listing, and when that was received.
   WorkerTime worker_clock_{0};
   TimePoint worker_clock_at_;
   // Until when the worker's lease may last, on this process's clock; none if
-  // that is not known, as after a start.
+  // unknown, as after a start.
   std::optional<TimePoint> worker_lease_until_;
   bool report_due_ = false;
-  // Whether the worker's failure domain is, by the latest orders.
+  // Whether the worker's failure domain is evacuated, by the latest orders.
   bool evacuated_ = false;
 };
 
--- a/Source/Jobs/task_agent_orders.cc
+++ b/Source/Jobs/task_agent_orders.cc
@@ -3,12 +3,12 @@
 
 #include "Jobs/task_agent.h"
 
-// How an agent carries out the owner's orders.
+// Execution of the owner's orders by an agent.
 namespace rhubarbhaven::jobs {
 namespace {
 
-// Pause before a call to the worker that got no answer is made again.
-constexpr std::chrono::milliseconds kCallAgain{30};
+// Pause before a call to the worker without a response is repeated.
+constexpr std::chrono::milliseconds kCallRetryPause{30};
 
 auto SameTask(const TaskName& left, const TaskName& right) -> bool {
   return left.index() == right.index() && left.step() == right.step() &&
@@ -31,7 +31,7 @@
       return "bad_ticket";
     case WorkerCallOutcome::kUnhealthy:
       return "unhealthy";
-    case WorkerCallOutcome::kOtherLife:
+    case WorkerCallOutcome::kOtherWorkerId:
       return "other_life";
     case WorkerCallOutcome::kRejected:
       return "rejected";
@@ -58,14 +58,15 @@
 
 }  // namespace
 
-auto TaskAgent::TakeOrders(const AgentOrders& orders) -> void {
+auto TaskAgent::AcceptOrders(const AgentOrders& orders) -> void {
   if (orders.worker_id() == heartbeat_.worker_id) {
     forget_through_ = std::max(forget_through_, orders.ends_logged());
   }
   results_seen_ = std::max(results_seen_, orders.results_seen());
   if (heartbeat_.worker_id.empty()) {
-    // A process that has just started knows no worker. To refuse now would be
-    // wrong if the process before it has given the order; the owner repeats it.
+    // A process that has just started knows no worker. Rejecting the order
+    // would be wrong if the previous process has already passed it to the
+    // worker. The owner repeats it.
     return;
   }
   std::erase_if(orders_, [this](const auto& item) -> bool {
@@ -76,21 +77,22 @@
     if (start.order() <= results_seen_ || orders_.contains(start.order())) {
       continue;
     }
-    const bool other_life = start.worker_id() != heartbeat_.worker_id;
-    if (other_life && start.repeated()) {
-      // Which life is the newer one, the owner learns from the report.
+    const bool other_worker_id = start.worker_id() != heartbeat_.worker_id;
+    if (other_worker_id && start.repeated()) {
+      // The report shows the owner which worker id is the newer one.
       continue;
     }
     auto order = std::make_shared<Order>();
     order->start = start;
     order->task = start.task();
     order->run = start.run();
-    order->unsure = start.repeated();
+    order->unconfirmed = start.repeated();
     order->withdrawn = HasStop(start);
     order->lease_number = lease_number_;
     orders_[start.order()] = order;
-    if (other_life) {
-      // Another life of the worker: nothing of the order can happen there.
+    if (other_worker_id) {
+      // The order is for another process of the worker, so it cannot have any
+      // effect there.
       Finish(order, ORDER_REFUSED);
     }
   }
@@ -117,9 +119,9 @@
 
 auto TaskAgent::WithdrawStarts(const StopOrder& stop) -> void {
   for (const auto& [number, order] : orders_) {
-    const bool meant = !order->is_stop && order->run <= stop.run() &&
-                       SameTask(order->task, stop.task());
-    order->withdrawn = order->withdrawn || meant;
+    const bool matches = !order->is_stop && order->run <= stop.run() &&
+                         SameTask(order->task, stop.task());
+    order->withdrawn = order->withdrawn || matches;
   }
 }
 
@@ -137,7 +139,7 @@
     return;
   }
   for (const auto& [number, order] : orders_) {
-    // A call under way still gets its answer, or runs into its timeout.
+    // A call in flight still gets its response or times out.
     if (order->state == OrderState::kWaiting ||
         order->state == OrderState::kVerifying) {
       Finish(order, order->is_stop ? ORDER_DONE : ORDER_REFUSED);
@@ -145,29 +147,29 @@
   }
 }
 
-auto TaskAgent::RunOrders(TimePoint now) -> void {
+auto TaskAgent::ExecuteOrders(TimePoint now) -> void {
   SettleLapsed(now);
   if (!listed_) {
     return;
   }
-  // A copy: a call that answers at once changes the map.
+  // Iterates over a copy, since a call that returns at once changes the map.
   const auto orders = orders_;
   for (const auto& [number, order] : orders) {
     if (order->state == OrderState::kWaiting && order->not_before <= now) {
-      RunOrder(now, order);
+      ExecuteOrder(now, order);
     }
   }
 }
 
-auto TaskAgent::RunOrder(TimePoint now, const OrderPtr& order) -> void {
-  if (order->is_stop || order->poisoned) {
+auto TaskAgent::ExecuteOrder(TimePoint now, const OrderPtr& order) -> void {
+  if (order->is_stop || order->revoked) {
     CallStop(order);
     return;
   }
   const bool lease_holds =
       LeaseHolds(now) && order->lease_number == lease_number_;
   if (heartbeat_.draining || evacuated_ || order->withdrawn || !lease_holds) {
-    RefuseStart(now, order, ORDER_REFUSED);
+    RejectStart(now, order, ORDER_REFUSED);
     return;
   }
   CallStart(now, order);
@@ -226,22 +228,24 @@
              OutcomeName(result.outcome));
   switch (result.outcome) {
     case WorkerCallOutcome::kUnknown:
-      // The same run again: the worker starts it once.
-      order->unsure = true;
-      order->not_before = now + kCallAgain;
+      // Repeats the start of the same run, which the worker starts only once.
+      order->unconfirmed = true;
+      order->not_before = now + kCallRetryPause;
       return;
     case WorkerCallOutcome::kRunOver:
-      // An earlier copy ran and ended; its end must be told before this.
+      // An earlier copy of the call started the run, and the run has ended. Its
+      // end must be reported before this outcome.
       Verify(now, order, ORDER_RUN_OVER);
       return;
     case WorkerCallOutcome::kFenced:
-    case WorkerCallOutcome::kOtherLife:
-      // Who sent the higher fence, or the new life's heartbeat, settles it.
+    case WorkerCallOutcome::kOtherWorkerId:
+      // Orders with the higher fence, or the heartbeat of the new worker
+      // process, will resolve this.
       order->not_before = now + options_.retry_pause;
-      order->unsure = true;
+      order->unconfirmed = true;
       return;
     default:
-      RefuseStart(now, order, ResultOf(result.outcome));
+      RejectStart(now, order, ResultOf(result.outcome));
   }
 }
 
@@ -251,7 +255,7 @@
   order->state = OrderState::kWaiting;
   if (result.outcome == WorkerCallOutcome::kUnknown ||
       result.outcome == WorkerCallOutcome::kUnhealthy) {
-    order->not_before = now + kCallAgain;
+    order->not_before = now + kCallRetryPause;
     return;
   }
   if (result.outcome != WorkerCallOutcome::kDone) {
@@ -260,8 +264,8 @@
     order->not_before = now + options_.retry_pause;
     return;
   }
-  if (order->poisoned) {
-    // The refused start is over for good once a listing shows no trace of it.
+  if (order->revoked) {
+    // The rejected start is final once a listing no longer contains its run.
     Verify(now, order, order->outcome);
     return;
   }
@@ -269,18 +273,18 @@
   Report(now, /*with_running=*/false);
 }
 
-auto TaskAgent::RefuseStart(TimePoint now,
+auto TaskAgent::RejectStart(TimePoint now,
                             const OrderPtr& order,
                             OrderOutcome outcome) -> void {
-  if (!order->unsure) {
+  if (!order->unconfirmed) {
     Finish(order, outcome);
     Report(now, /*with_running=*/false);
     return;
   }
-  // An earlier copy may be carried out later, when there is room for it, while
-  // the task runs elsewhere. A worker refuses a run that was stopped before it
-  // came.
-  order->poisoned = true;
+  // An earlier copy of the call may be carried out later, when the worker has
+  // room for it, while the task runs elsewhere. A worker rejects a run that was
+  // stopped before its start arrived.
+  order->revoked = true;
   order->outcome = outcome;
   CallStop(order);
 }
--- a/Source/Jobs/worker_port.h
+++ b/Source/Jobs/worker_port.h
@@ -11,29 +11,29 @@
 
 namespace rhubarbhaven::jobs {
 
-// A point on a worker's own clock.
+// A point in time on a worker's own clock.
 using WorkerTime = std::chrono::milliseconds;
 
-// What a worker says of itself at an interval.
+// The state that a worker publishes periodically.
 struct WorkerHeartbeat {
-  // Unique to one life of the worker.
+  // Unique to one process of the worker.
   std::string worker_id;
-  // Rises with each heartbeat of one life.
+  // Increases with each heartbeat of one process.
   uint64_t sequence = 0;
   std::string service;
   std::string failure_domain;
   schema::Resources capacity;
   std::vector<std::string> labels;
   bool draining = false;
-  // At least this long is left to a worker that drains.
+  // The minimum remaining time of a worker that drains.
   std::chrono::milliseconds remaining{0};
 };
 
-// What a worker runs, and which ends it has not been told to forget.
+// The tasks that a worker runs, and the task ends that it still stores.
 struct WorkerListing {
   bool answered = false;
-  // The worker has another life than the one that was meant.
-  bool other_life = false;
+  // The worker's id differs from the one in the call.
+  bool other_worker_id = false;
   // A higher fence is in force at the worker.
   bool fenced = false;
   WorkerTime clock{0};
@@ -43,16 +43,16 @@
 
 enum class WorkerCallOutcome {
   kDone,
-  // Nothing was done, and nothing will be by this call.
+  // The call was not carried out and will not be.
   kNoRoom,
   kRunOver,
   kLate,
   kFenced,
   kBadTicket,
   kUnhealthy,
-  kOtherLife,
+  kOtherWorkerId,
   kRejected,
-  // Done, or not, or later.
+  // The call may have been carried out, or may still be carried out later.
   kUnknown,
 };
 
@@ -67,7 +67,8 @@
   std::string payload;
   std::string checkpoint;
   std::string ticket;
-  // The worker refuses the start from then on, and its lease lasts until then.
+  // The worker rejects the start after this time, and its lease lasts until
+  // then.
   WorkerTime deadline{0};
   std::string worker_id;
 };
@@ -81,11 +82,11 @@
 
 struct ListCall {
   uint64_t fence = 0;
-  // Ends up to this one may be forgotten.
+  // The worker may discard ends up to this number.
   uint64_t forget_through = 0;
-  // Renews the worker's lease until then; zero renews nothing.
+  // Renews the worker's lease until this time; zero renews nothing.
   WorkerTime deadline{0};
-  // How long the answer may wait for an end.
+  // How long the response may wait for a task end.
   std::chrono::milliseconds wait{0};
   std::string worker_id;
 };
@@ -94,13 +95,13 @@
   TaskName task;
   uint64_t run = 0;
   uint64_t fence = 0;
-  // Share of its speed at which the task works, 0 to 100.
+  // The share of its full speed at which the task runs, 0 to 100.
   uint32_t percent = 100;
   std::string worker_id;
 };
 
-// Calls to the worker beside an agent. Each answers once, on the thread of the
-// agent's state, also when the worker is silent.
+// Calls to the agent's worker. Each calls back exactly once, on the thread of
+// the agent's state, also when the worker is unresponsive.
 struct WorkerPort {
   using OnCall = std::function<auto(TimePoint, WorkerCallResult)->void>;
   using OnListing = std::function<auto(TimePoint, WorkerListing)->void>;
--- a/Tests/Benchmarks/Jobs/owner_world.cc
+++ b/Tests/Benchmarks/Jobs/owner_world.cc
@@ -88,7 +88,7 @@
     return queue == kUrgentQueue ? &urgent_rules_ : &rules_;
   };
   hooks.is_evacuated = [](const std::string&) { return false; };
-  hooks.alone_until = [this]() -> TimePoint { return now_; };
+  hooks.exclusive_until = [this]() -> TimePoint { return now_; };
   hooks.wall_clock = [this]() -> std::chrono::milliseconds {
     return std::chrono::duration_cast<std::chrono::milliseconds>(
         now_.time_since_epoch());
--- a/Tests/Jobs/append_batcher_test.cc
+++ b/Tests/Jobs/append_batcher_test.cc
@@ -20,7 +20,7 @@
 auto Options(bool give_back) -> AppendBatcherOptions {
   AppendBatcherOptions options;
   options.producer = "entry";
-  options.give_back_refused = give_back;
+  options.settle_rejected = give_back;
   return options;
 }
 
@@ -30,7 +30,7 @@
   std::vector<AppendOutcome> outcomes;
   // The sequence number of each call.
   std::vector<uint64_t> sequences;
-  std::vector<AppendFate> settled;
+  std::vector<EntryOutcome> settled;
 };
 
 class FateTest : public testing::TestWithParam<FateCase> {};
@@ -38,7 +38,7 @@
 TEST_P(FateTest, EntryIsSettledOnce) {
   AppendBatcher batcher(Options(GetParam().give_back));
   TimePoint now = kStart;
-  std::vector<AppendFate> settled;
+  std::vector<EntryOutcome> settled;
   batcher.Enqueue(7, {{"key", "value", 0}});
   for (std::size_t i = 0; i < GetParam().outcomes.size(); ++i) {
     now += std::chrono::seconds(1);
@@ -48,7 +48,7 @@
     for (const auto& entry :
          batcher.OnResult(now, {GetParam().outcomes[i], 0})) {
       EXPECT_EQ(entry.ticket, 7U);
-      settled.push_back(entry.fate);
+      settled.push_back(entry.outcome);
     }
   }
   EXPECT_EQ(settled, GetParam().settled);
@@ -61,26 +61,27 @@
                              true,
                              {AppendOutcome::kAppended},
                              {1},
-                             {AppendFate::kStored}},
+                             {EntryOutcome::kStored}},
                     FateCase{"refused_is_given_back",
                              true,
-                             {AppendOutcome::kRefused},
+                             {AppendOutcome::kRejected},
                              {1},
-                             {AppendFate::kNotStored}},
+                             {EntryOutcome::kNotStored}},
                     // The first try may be in the log: a refusal of the second
                     // says nothing about it.
                     FateCase{"lost_then_refused_is_not_given_back",
                              true,
-                             {AppendOutcome::kUnknown, AppendOutcome::kRefused,
+                             {AppendOutcome::kUnknown, AppendOutcome::kRejected,
                               AppendOutcome::kAppended},
                              {1, 1, 1},
-                             {AppendFate::kStored}},
-                    FateCase{"kept_until_stored",
-                             false,
-                             {AppendOutcome::kRefused, AppendOutcome::kRefused,
-                              AppendOutcome::kAppended},
-                             {1, 1, 1},
-                             {AppendFate::kStored}},
+                             {EntryOutcome::kStored}},
+                    FateCase{
+                        "kept_until_stored",
+                        false,
+                        {AppendOutcome::kRejected, AppendOutcome::kRejected,
+                         AppendOutcome::kAppended},
+                        {1, 1, 1},
+                        {EntryOutcome::kStored}},
                     FateCase{"fenced_settles_nothing",
                              false,
                              {AppendOutcome::kFenced},
@@ -113,7 +114,7 @@
   AppendBatcher batcher(Options(true));
   batcher.Enqueue(1, {{"key", "value", 0}});
   ASSERT_TRUE(batcher.Next(kStart).has_value());
-  batcher.OnResult(kStart, {AppendOutcome::kRefused, 0});
+  batcher.OnResult(kStart, {AppendOutcome::kRejected, 0});
   EXPECT_FALSE(batcher.accepts(kStart));
   const TimePoint later = kStart + milliseconds(500);
   EXPECT_TRUE(batcher.accepts(later));
@@ -144,12 +145,12 @@
   };
   batcher.Enqueue(1, {{"first", "value", 0}});
   send(*batcher.Next(time.now()));
-  batcher.OnResult(time.now(), {AppendOutcome::kRefused, 0});
+  batcher.OnResult(time.now(), {AppendOutcome::kRejected, 0});
   batcher.Enqueue(2, {{"second", "value", 0}});
   const auto settled = batcher.OnResult(
       time.now(), send(*batcher.Next(time.now() + seconds(1))));
   ASSERT_EQ(settled.size(), 1U);
-  EXPECT_EQ(settled.front().fate, AppendFate::kStored);
+  EXPECT_EQ(settled.front().outcome, EntryOutcome::kStored);
   std::vector<std::string> stored;
   port.newest({LogTopic::kJobs, ""},
               [&stored](TimePoint, const NewestResult& newest) -> void {
--- a/Tests/Jobs/cancel_explorer_test.cc
+++ b/Tests/Jobs/cancel_explorer_test.cc
@@ -299,7 +299,7 @@
 auto CancelPlay::Ask(int entry, const std::string& job) -> void {
   const bool seen_long = world_.time().now() - accepted_.at(job) >= kVisible;
   world_.CallAt(
-      entry, JobCallKind::kAsk, job,
+      entry, JobCallKind::kQuery, job,
       [this, entry, job, seen_long](const JobReply& reply) -> void {
         const bool cancelled =
             reply.verdict == JobVerdict::kState && reply.state == JOB_CANCELLED;
--- a/Tests/Jobs/entry_decisions_test.cc
+++ b/Tests/Jobs/entry_decisions_test.cc
@@ -135,7 +135,7 @@
   AnswerRead(ReadOutcome::kRecords);
   ASSERT_TRUE(Appended(RecordKind::kResignation).has_value());
   for (const auto& done : std::exchange(on_append_, {})) {
-    done(now_, {AppendOutcome::kRefused, 0});
+    done(now_, {AppendOutcome::kRejected, 0});
   }
   appended_.clear();
   Pass(milliseconds(1000));
--- a/Tests/Jobs/job_check_test.cc
+++ b/Tests/Jobs/job_check_test.cc
@@ -52,7 +52,7 @@
                   "16 hexadecimal digits"},
         CheckCase{"long_payload",
                   [](Job* job) {
-                    job->set_payload(std::string(kLongestPayload + 1, 'x'));
+                    job->set_payload(std::string(kMaxPayloadBytes + 1, 'x'));
                   },
                   "allowed are 4000"},
         CheckCase{"no_steps", [](Job* job) { job->clear_steps(); },
@@ -67,7 +67,7 @@
                   [](Job* job) { job->mutable_steps(0)->add_after(1); },
                   "step 0 waits for step 1"},
         CheckCase{"too_many_occurrences",
-                  [](Job* job) { job->set_occurrences(kMostOccurrences + 1); },
+                  [](Job* job) { job->set_occurrences(kMaxOccurrences + 1); },
                   "occurs"}),
     [](const auto& info) { return info.param.name; });
 
--- a/Tests/Jobs/job_fold_test.cc
+++ b/Tests/Jobs/job_fold_test.cc
@@ -460,7 +460,7 @@
   const auto change = fold.Apply(record);
   EXPECT_EQ(Picture(fold), before);
   EXPECT_EQ(change.kind, RecordKind::kUnknown);
-  EXPECT_FALSE(change.passed_over.empty());
+  EXPECT_FALSE(change.skipped_reason.empty());
 }
 
 TEST_P(BadRecordTest, SaysNothingByItself) {
@@ -540,7 +540,7 @@
   JobFold fold;
   for (int round = 0; round < 2; ++round) {
     for (const auto& record : GoodRecords()) {
-      EXPECT_EQ(fold.Apply(record).passed_over, "") << record.key;
+      EXPECT_EQ(fold.Apply(record).skipped_reason, "") << record.key;
       EXPECT_EQ(fold.Apply({record.key, record.value, 9}).kind,
                 ParseKey(record.key).kind);
     }
@@ -555,8 +555,8 @@
   fold.Apply(MakeRecord(RecordKind::kProgress, kId, progress));
   const auto change = fold.Apply(MakeRecord(RecordKind::kJob, kId, GoodJob()));
   EXPECT_EQ(change.kind, RecordKind::kJob);
-  EXPECT_NE(change.passed_over.find("step 9"), std::string::npos)
-      << change.passed_over;
+  EXPECT_NE(change.skipped_reason.find("step 9"), std::string::npos)
+      << change.skipped_reason;
 }
 
 // Symptom: no entry can claim the cell. Cause: the claim was dropped, and the
--- a/Tests/Jobs/job_owner_fixture.h
+++ b/Tests/Jobs/job_owner_fixture.h
@@ -67,7 +67,7 @@
     hooks.is_evacuated = [this](const std::string& domain) -> bool {
       return evacuated_.contains(domain);
     };
-    hooks.alone_until = [this]() -> TimePoint {
+    hooks.exclusive_until = [this]() -> TimePoint {
       return std::min(now_, alone_until_);
     };
     hooks.wall_clock = [this]() -> milliseconds { return wall_; };
--- a/Tests/Jobs/keyed_log_follower_test.cc
+++ b/Tests/Jobs/keyed_log_follower_test.cc
@@ -34,12 +34,12 @@
 
   auto Hooks() -> KeyedLogFollowerHooks {
     KeyedLogFollowerHooks hooks;
-    hooks.at = [this](TimePoint when, const auto& job) -> void {
+    hooks.schedule = [this](TimePoint when, const auto& job) -> void {
       time_.At(when, [this, job]() -> void { job(time_.now()); });
     };
     hooks.on_record = [](TimePoint, const KeyedRecord&) {};
-    hooks.on_key_gone = [](TimePoint, const std::string&) {};
-    hooks.on_begin_anew = [] {};
+    hooks.on_key_removed = [](TimePoint, const std::string&) {};
+    hooks.on_restart = [] {};
     hooks.on_caught_up = [](TimePoint, TimePoint) {};
     hooks.on_reachable = [](const std::string&) {};
     return hooks;
--- a/Tests/Jobs/owner_election_test.cc
+++ b/Tests/Jobs/owner_election_test.cc
@@ -280,21 +280,21 @@
 // Guards against a claim that ends an owner which has been heard of since.
 TEST(OwnerElectionTest, RenewalTakesTheGroundsOfAClaim) {
   auto [election, now] = Claimant();
-  EXPECT_FALSE(election.ClaimIsGroundless(now));
+  EXPECT_FALSE(election.ClaimIsUnjustified(now));
   election.OnClaimRead(now, ClaimOf("other", 3, false));
-  EXPECT_TRUE(election.ClaimIsGroundless(now));
+  EXPECT_TRUE(election.ClaimIsUnjustified(now));
 }
 
 // Guards against a claim that is made in a cut and stored when that heals.
 TEST(OwnerElectionTest, ClaimHasNoGroundsOnceReadsAreNotAnswered) {
   auto [election, now] = Claimant();
-  EXPECT_TRUE(election.ClaimIsGroundless(now + milliseconds(2000)));
+  EXPECT_TRUE(election.ClaimIsUnjustified(now + milliseconds(2000)));
 }
 
 TEST(OwnerElectionTest, StoredClaimNeedsNoGrounds) {
   auto [election, now] = Claimant();
   election.OnClaimStored(now);
-  EXPECT_FALSE(election.ClaimIsGroundless(now + milliseconds(2000)));
+  EXPECT_FALSE(election.ClaimIsUnjustified(now + milliseconds(2000)));
 }
 
 struct ReadWaitCase {
@@ -419,13 +419,13 @@
   election.OnCaughtUp(kStart, kStart);
   ASSERT_TRUE(election.ClaimDue(kStart));
   election.OnClaimStored(kStart);
-  EXPECT_EQ(election.alone_until(), kStart);
+  EXPECT_EQ(election.exclusive_until(), kStart);
   election.OnCaughtUp(kStart + milliseconds(900), kStart + milliseconds(900));
   ASSERT_TRUE(election.ClaimDue(kStart + milliseconds(900)));
-  EXPECT_EQ(election.alone_until(), kStart);
+  EXPECT_EQ(election.exclusive_until(), kStart);
   election.OnClaimStored(kStart + milliseconds(800));
   election.OnClaimStored(kStart + milliseconds(300));
-  EXPECT_EQ(election.alone_until(), kStart + milliseconds(800));
+  EXPECT_EQ(election.exclusive_until(), kStart + milliseconds(800));
 }
 
 }  // namespace
--- a/Tests/Jobs/pacing_test.cc
+++ b/Tests/Jobs/pacing_test.cc
@@ -71,7 +71,7 @@
 class FillerPacingTest : public testing::TestWithParam<PaceCase> {};
 
 TEST_P(FillerPacingTest, SlowsWhoDisturbs) {
-  FillerPacing pacing{FillerPacingOptions()};
+  OpportunisticPacing pacing{OpportunisticPacingOptions()};
   pacing.SetRuns({Serving(100), Filler(2, "heavy"), Filler(3, "light")});
   ImagePressure heavy;
   heavy.set_serving_image("serving");
@@ -109,7 +109,7 @@
 // Symptom: a filler stands still for seconds. Cause: it was to work at a few
 // percent, and changes of a few percent were not ordered.
 TEST(FillerPacingTest, StandstillEndsWithASmallChange) {
-  FillerPacing pacing{FillerPacingOptions()};
+  OpportunisticPacing pacing{OpportunisticPacingOptions()};
   pacing.SetRuns({Serving(100), Filler(2, "heavy")});
   TimePoint now{std::chrono::seconds(100)};
   auto changes =
@@ -142,7 +142,7 @@
 // the rise is put down to the run's own load. Cause: fillers yielded by the
 // pressures alone.
 TEST_P(LongOverTest, FillersStopWhateverThePressuresSay) {
-  FillerPacing pacing{FillerPacingOptions()};
+  OpportunisticPacing pacing{OpportunisticPacingOptions()};
   pacing.SetRuns({Serving(100), Filler(2, "heavy")});
   ImagePressure none;
   none.set_serving_image("serving");
@@ -193,7 +193,7 @@
     const bool light = round % 3 == 1;
     const double share = 0.1;
     const double latency = 50 * (1 + (heavy ? 10 * share : 0));
-    std::vector<FillerSample> fillers;
+    std::vector<OpportunisticSample> fillers;
     if (heavy) {
       fillers.push_back({"heavy", share});
     }
@@ -237,7 +237,7 @@
     now += kLook;
     const double base =
         40 * std::exp(kSwing * std::sin(look * std::numbers::pi / 20));
-    std::vector<FillerSample> fillers;
+    std::vector<OpportunisticSample> fillers;
     double slowdown = 1;
     if (look / GetParam().looks % 2 == 0) {
       fillers = {{"heavy", GetParam().heavy_share},
--- a/Tests/Jobs/stale_copy_test.cc
+++ b/Tests/Jobs/stale_copy_test.cc
@@ -24,7 +24,7 @@
 
 struct StaleCopyCase {
   std::string name;
-  JobCallKind kind = JobCallKind::kAsk;
+  JobCallKind kind = JobCallKind::kQuery;
   Copy copy = Copy::kCurrent;
   JobVerdict verdict = JobVerdict::kUnavailable;
   bool stored = false;
@@ -93,26 +93,25 @@
 INSTANTIATE_TEST_SUITE_P(
     Table,
     StaleCopyTest,
-    testing::Values(StaleCopyCase{"ask_none", JobCallKind::kAsk, Copy::kCurrent,
-                                  JobVerdict::kNoSuchJob, false},
-                    StaleCopyCase{"ask_behind", JobCallKind::kAsk,
-                                  Copy::kBehind, JobVerdict::kState, false},
-                    StaleCopyCase{"ask_unknown", JobCallKind::kAsk,
-                                  Copy::kUnknown, JobVerdict::kUnavailable,
-                                  false},
-                    StaleCopyCase{"cancel_none", JobCallKind::kCancel,
-                                  Copy::kCurrent, JobVerdict::kNoSuchJob, true},
-                    StaleCopyCase{"cancel_behind", JobCallKind::kCancel,
-                                  Copy::kBehind, JobVerdict::kCancelled, true},
-                    // It holds whatever the log has.
-                    StaleCopyCase{"cancel_unknown", JobCallKind::kCancel,
-                                  Copy::kUnknown, JobVerdict::kCancelled,
-                                  true}),
+    testing::Values(
+        StaleCopyCase{"ask_none", JobCallKind::kQuery, Copy::kCurrent,
+                      JobVerdict::kNoSuchJob, false},
+        StaleCopyCase{"ask_behind", JobCallKind::kQuery, Copy::kBehind,
+                      JobVerdict::kState, false},
+        StaleCopyCase{"ask_unknown", JobCallKind::kQuery, Copy::kUnknown,
+                      JobVerdict::kUnavailable, false},
+        StaleCopyCase{"cancel_none", JobCallKind::kCancel, Copy::kCurrent,
+                      JobVerdict::kNoSuchJob, true},
+        StaleCopyCase{"cancel_behind", JobCallKind::kCancel, Copy::kBehind,
+                      JobVerdict::kCancelled, true},
+        // It holds whatever the log has.
+        StaleCopyCase{"cancel_unknown", JobCallKind::kCancel, Copy::kUnknown,
+                      JobVerdict::kCancelled, true}),
     [](const auto& info) { return info.param.name; });
 
 struct OldQueuesCase {
   std::string name;
-  JobCallKind kind = JobCallKind::kAsk;
+  JobCallKind kind = JobCallKind::kQuery;
   // Since the operators' log was read to its end.
   milliseconds age{0};
   JobVerdict verdict = JobVerdict::kUnavailable;
@@ -137,9 +136,9 @@
                                   milliseconds(0), JobVerdict::kNoSuchJob},
                     OldQueuesCase{"cancel_old", JobCallKind::kCancel,
                                   milliseconds(2100), JobVerdict::kUnavailable},
-                    OldQueuesCase{"ask_current", JobCallKind::kAsk,
+                    OldQueuesCase{"ask_current", JobCallKind::kQuery,
                                   milliseconds(0), JobVerdict::kNoSuchJob},
-                    OldQueuesCase{"ask_old", JobCallKind::kAsk,
+                    OldQueuesCase{"ask_old", JobCallKind::kQuery,
                                   milliseconds(2100), JobVerdict::kUnavailable},
                     OldQueuesCase{"submit_current", JobCallKind::kSubmit,
                                   milliseconds(0), JobVerdict::kInvalid},
@@ -169,17 +168,17 @@
 
 // Guards against "no such job" out of the copy of a log that was put back.
 TEST_F(CancelAheadTest, LogThatEndsBeforeTheCopyShowsNothing) {
-  Call(JobCallKind::kAsk);
+  Call(JobCallKind::kQuery);
   AnswerEndRead(ReadOutcome::kRecords, kEnd - 1);
   EXPECT_EQ(replies_, std::vector(1, JobVerdict::kUnavailable));
 }
 
 // Guards against a question that is refused since the next one's read failed.
 TEST_F(CancelAheadTest, FailedReadIsNoAnswerToThoseBefore) {
-  Call(JobCallKind::kAsk);
+  Call(JobCallKind::kQuery);
   AnswerEndRead(ReadOutcome::kRecords, kEnd + 1);
   Pass(milliseconds(100));
-  Call(JobCallKind::kAsk);
+  Call(JobCallKind::kQuery);
   AnswerEndRead(ReadOutcome::kFailed, 0);
   EXPECT_EQ(replies_, std::vector(1, JobVerdict::kUnavailable));
   AnswerRead(ReadOutcome::kRecords, {JobRecord()});
--- a/Tests/Jobs/virtual_log.cc
+++ b/Tests/Jobs/virtual_log.cc
@@ -134,7 +134,7 @@
   switch (ModeOf(client)) {
     case Mode::kRefuses:
       time_->After(latency_,
-                   [fail]() -> void { fail(AppendOutcome::kRefused); });
+                   [fail]() -> void { fail(AppendOutcome::kRejected); });
       return;
     case Mode::kHolds:
       held_.push_back({client, call});
@@ -199,7 +199,7 @@
   std::size_t bytes = 0;
   for (uint64_t at = call.from; !gone && at < topic.records.size(); ++at) {
     bytes += topic.records[at].key.size() + topic.records[at].value.size();
-    if (bytes > call.most_bytes && !result.records.empty()) {
+    if (bytes > call.max_bytes && !result.records.empty()) {
       break;
     }
     result.records.push_back(topic.records[at]);
--- a/Tests/Jobs/virtual_worker.cc
+++ b/Tests/Jobs/virtual_worker.cc
@@ -188,7 +188,7 @@
 
 auto VirtualWorker::Start(const StartCall& call) -> WorkerCallOutcome {
   if (call.worker_id != absl::StrCat(name_, "-life-", life_)) {
-    return WorkerCallOutcome::kOtherLife;
+    return WorkerCallOutcome::kOtherWorkerId;
   }
   if (call.fence < fence_) {
     return WorkerCallOutcome::kFenced;
@@ -231,7 +231,7 @@
 
 auto VirtualWorker::Stop(const StopCall& call) -> WorkerCallOutcome {
   if (call.worker_id != absl::StrCat(name_, "-life-", life_)) {
-    return WorkerCallOutcome::kOtherLife;
+    return WorkerCallOutcome::kOtherWorkerId;
   }
   if (call.fence < fence_) {
     return WorkerCallOutcome::kFenced;
@@ -257,9 +257,10 @@
   WorkerListing listing;
   listing.answered = true;
   listing.clock = Clock();
-  listing.other_life = call.worker_id != absl::StrCat(name_, "-life-", life_);
+  listing.other_worker_id =
+      call.worker_id != absl::StrCat(name_, "-life-", life_);
   listing.fenced = call.fence < fence_;
-  if (listing.other_life || listing.fenced) {
+  if (listing.other_worker_id || listing.fenced) {
     return listing;
   }
   fence_ = call.fence;
@@ -291,8 +292,8 @@
                                 TimePoint until,
                                 const WorkerPort::OnListing& done) -> void {
   const WorkerListing listing = List(call);
-  if (listing.ended.empty() && time_->now() < until && !listing.other_life &&
-      !listing.fenced) {
+  if (listing.ended.empty() && time_->now() < until &&
+      !listing.other_worker_id && !listing.fenced) {
     time_->After(kListAgain, [this, call, until, done]() -> void {
       WaitAndList(call, until, done);
     });
--- a/Tests/StandIns/Platform/platform_stand_in.cc
+++ b/Tests/StandIns/Platform/platform_stand_in.cc
@@ -145,7 +145,7 @@
       return refused("late");
     case WorkerCallOutcome::kFenced:
       return refused("fence");
-    case WorkerCallOutcome::kOtherLife:
+    case WorkerCallOutcome::kOtherWorkerId:
       return JsonAnswer(421, Json::object());
     default:
       return JsonAnswer(503, Json::object());
@@ -169,7 +169,7 @@
   if (!listing.answered) {
     return JsonAnswer(503, Json::object());
   }
-  if (listing.other_life) {
+  if (listing.other_worker_id) {
     return JsonAnswer(421, Json::object());
   }
   if (listing.fenced) {
@@ -428,9 +428,9 @@
         });
   } else if (absl::EndsWith(request.path, "log-read")) {
     const std::chrono::milliseconds wait(QueryNumber(request, "WaitMs"));
-    const std::size_t most_bytes = QueryNumber(request, "MaxKb") << 10;
+    const std::size_t max_bytes = QueryNumber(request, "MaxKb") << 10;
     log_port_.read(
-        {TopicOf(request), QueryNumber(request, "From"), wait, most_bytes},
+        {TopicOf(request), QueryNumber(request, "From"), wait, max_bytes},
         [respond](TimePoint, const jobs::ReadResult& result) -> void {
           respond(ReadAnswer(result));
         });
