--- a/Source/Client/change_commands.cc
+++ b/Source/Client/change_commands.cc
@@ -55,7 +55,8 @@
   return ExitCode::kOk;
 }
 
-// Submits the change, prints its outcome and waits if that was asked for.
+// Submits the change, prints its outcome and, with --wait, waits until it is in
+// force.
 auto SubmitAndWait(CommandContext* context,
                    ConfigSession* session,
                    schema::ConfigChange change) -> ExitCode {
@@ -75,8 +76,9 @@
   return FLAGS_wait ? Wait(context, outcome->offset()) : ExitCode::kOk;
 }
 
-// The wanted state is there already, since the change at `version`.
-auto NothingToChange(CommandContext* context, uint64_t version) -> ExitCode {
+// Reports that the wanted state has been in force since the change at
+// `version`.
+auto ReportNoChange(CommandContext* context, uint64_t version) -> ExitCode {
   if (FLAGS_json) {
     schema::ChangeOutcome outcome;
     outcome.set_accepted(true);
@@ -95,7 +97,7 @@
     return url.status();
   }
   if (FLAGS_wait) {
-    // Said before anything is changed.
+    // Checked before anything is changed.
     auto entries = EntryUrls();
     if (!entries.ok()) {
       return entries.status();
@@ -110,8 +112,8 @@
   return session;
 }
 
-// The one object of this kind with this name; "PARTNER/NAME" or, if only one
-// partner has it, "NAME".
+// Finds the object of this kind by "PARTNER/NAME" or, if only one partner has
+// an object of that name, by "NAME".
 auto FindByName(const ConfigFold& fold,
                 const std::string& kind,
                 const std::string& text)
@@ -156,7 +158,7 @@
   *item->mutable_object() = object->object();
   edit(item->mutable_object());
   if (MessageDifferencer::Equals(item->object(), object->object())) {
-    return NothingToChange(context, object->version());
+    return ReportNoChange(context, object->version());
   }
   return SubmitAndWait(context, session->get(), std::move(change));
 }
@@ -188,10 +190,10 @@
     PrintNames("create", plan->created, context->out);
     PrintNames("change", plan->changed, context->out);
     PrintNames("remove", plan->removed, context->out);
-    PrintNames("left, not in the file", plan->left, context->out);
+    PrintNames("left, not in the file", plan->kept, context->out);
   }
   if (plan->change.changes().empty()) {
-    return NothingToChange(context, plan->current_version);
+    return ReportNoChange(context, plan->current_version);
   }
   return SubmitAndWait(context, session->get(), std::move(plan->change));
 }
--- a/Source/Client/change_plan.cc
+++ b/Source/Client/change_plan.cc
@@ -15,8 +15,8 @@
   return absl::StrCat(key.kind(), "/", key.name());
 }
 
-auto CarryOver(const schema::ConfigObject& from, schema::ConfigObject* to)
-    -> void {
+auto KeepCommandSettings(const schema::ConfigObject& from,
+                         schema::ConfigObject* to) -> void {
   if (from.has_instance() && to->has_instance()) {
     auto* instance = to->mutable_instance();
     instance->set_draining(instance->draining() || from.instance().draining());
@@ -61,33 +61,35 @@
   for (const auto& item : wanted) {
     const std::string key = ShortKey(item.key);
     const auto found = unlisted.find(key);
-    const auto* known = found == unlisted.end() ? nullptr : found->second;
-    const auto vouched = expected.extract(key);
-    uint64_t version = known == nullptr ? 0 : known->version();
-    const bool stale = !vouched.empty() && vouched.mapped() != version;
-    version = vouched.empty() ? version : vouched.mapped();
+    const auto* existing = found == unlisted.end() ? nullptr : found->second;
+    const auto expected_version = expected.extract(key);
+    uint64_t version = existing == nullptr ? 0 : existing->version();
+    const bool stale =
+        !expected_version.empty() && expected_version.mapped() != version;
+    version = expected_version.empty() ? version : expected_version.mapped();
     schema::ConfigObject object = item.object;
-    if (known != nullptr) {
-      CarryOver(known->object(), &object);
+    if (existing != nullptr) {
+      KeepCommandSettings(existing->object(), &object);
       unlisted.erase(found);
     }
-    if (!stale && known != nullptr &&
-        MessageDifferencer::Equals(known->object(), object)) {
+    if (!stale && existing != nullptr &&
+        MessageDifferencer::Equals(existing->object(), object)) {
       continue;
     }
-    (known == nullptr ? plan.created : plan.changed).push_back(key);
+    (existing == nullptr ? plan.created : plan.changed).push_back(key);
     AddChange(item.key, version, &object, &plan);
   }
   for (const auto& [key, object] : unlisted) {
-    const auto vouched = expected.extract(key);
+    const auto expected_version = expected.extract(key);
     if (!options.prune) {
-      plan.left.push_back(key);
+      plan.kept.push_back(key);
       continue;
     }
     plan.removed.push_back(key);
     AddChange(object->key(),
-              vouched.empty() ? object->version() : vouched.mapped(), nullptr,
-              &plan);
+              expected_version.empty() ? object->version()
+                                       : expected_version.mapped(),
+              nullptr, &plan);
   }
   if (!expected.empty()) {
     return absl::InvalidArgumentError(
--- a/Source/Client/change_plan.h
+++ b/Source/Client/change_plan.h
@@ -15,9 +15,9 @@
 
 struct ChangePlanOptions {
   std::string partner;
-  // Objects of the partner that are not wanted are removed.
+  // Whether objects of the partner that the register does not list are removed.
   bool prune = false;
-  // Versions that the operator vouches to have seen, by "kind/name".
+  // Versions that the operator expects to be current, by "kind/name".
   std::map<std::string, uint64_t> expected;
 };
 
@@ -26,25 +26,28 @@
   std::vector<std::string> created;
   std::vector<std::string> changed;
   std::vector<std::string> removed;
-  // Objects that are not listed but stay, since pruning was not asked for.
-  std::vector<std::string> left;
-  // Highest version of the partner's objects; what a wait waits for if there
-  // is nothing to change.
+  // Objects that the register does not list and that remain, without `prune`.
+  std::vector<std::string> kept;
+  // Highest version of the partner's objects. With nothing to change, `--wait`
+  // waits for this version.
   uint64_t current_version = 0;
 };
 
-// The one change that leads from the current objects to the wanted ones.
+// Computes the change that turns the current objects into the wanted ones.
+// Returns InvalidArgument if an expected version is given for an object that is
+// neither in the file nor among the partner's.
 //
-// What operators set by commands (an instance's `draining` and
-// `lost_incarnation`, a job's `cancelled`) is carried over where the register
-// does not set it: otherwise applying an unchanged register would put a
-// drained instance back into use and run a cancelled job.
+// Values that operators set by commands (an instance's `draining` and
+// `lost_incarnation`, a job's `cancelled`) are kept where the register does not
+// set them. Otherwise, applying an unchanged register would return a drained
+// instance to use and run a cancelled job.
 auto PlanChange(const ChangePlanOptions& options,
                 const std::vector<RegisterObject>& wanted,
                 const std::vector<schema::VersionedObject>& current)
     -> absl::StatusOr<ChangePlan>;
 
-// Parses "kind/name=version" items.
+// Parses items of the form "kind/name=version". Returns InvalidArgument if an
+// item has another form.
 auto ParseExpected(const std::vector<std::string>& items)
     -> absl::StatusOr<std::map<std::string, uint64_t>>;
 
--- a/Source/Client/command.cc
+++ b/Source/Client/command.cc
@@ -40,7 +40,8 @@
   }
 }
 
-// Put in front, so that a refusal is told from a platform that is down.
+// Prefix of error messages, which distinguishes a rejected change from a
+// platform that is down.
 auto Label(ExitCode code) -> const char* {
   switch (code) {
     case ExitCode::kUsage:
--- a/Source/Client/command.h
+++ b/Source/Client/command.h
@@ -15,44 +15,45 @@
 
 namespace rhubarbhaven {
 
-// What a command works with.
+// The input and output of a command.
 struct CommandContext {
   std::vector<std::string> arguments;
   std::ostream& out;
   std::ostream& err;
-  // The command ends by then.
+  // Time by which the command must end.
   TimePoint deadline;
 };
 
 struct Command {
   std::string name;
-  // How the arguments are written, for instance "FILE".
+  // The arguments as the help text shows them, for example "FILE".
   std::string synopsis;
   std::string summary;
   std::vector<std::string> options;
-  // Number of arguments, beside options.
-  std::size_t least_arguments = 0;
-  std::size_t most_arguments = 0;
+  // Number of positional arguments.
+  std::size_t min_arguments = 0;
+  std::size_t max_arguments = 0;
   std::function<auto(CommandContext*)->ExitCode> run;
 };
 
-// All commands, in the order in which they are listed.
+// All commands, in the order in which the help text lists them.
 auto Commands() -> const std::vector<Command>&;
 
-// Prints the problem and returns the exit code that fits the status:
-// InvalidArgument and NotFound are usage, Aborted a conflict,
-// FailedPrecondition a refusal, Unavailable unreachable, DeadlineExceeded
-// a timeout.
+// Prints the error and returns the exit code of the status: kUsage for
+// InvalidArgument and NotFound, kConflict for Aborted, kRefused for
+// FailedPrecondition, kUnreachable for Unavailable and DataLoss, kTimeout for
+// DeadlineExceeded, and kFailed for all others.
 auto Fail(CommandContext* context, const absl::Status& status) -> ExitCode;
 
-// The message in JSON with the field names of the schema, on one line.
+// Formats the message as one line of JSON, with the field names of the schema.
 auto ToJson(const google::protobuf::Message& message) -> std::string;
 
-// Base URLs from options or environment; an error says what to give.
+// Base URLs from the options or the environment. Returns InvalidArgument with
+// the missing option if neither gives one.
 auto LogUrl() -> absl::StatusOr<std::string>;
 auto EntryUrls() -> absl::StatusOr<std::vector<std::string>>;
 
-// Time left to the deadline, at least one millisecond.
+// Time until the deadline, at least one millisecond.
 auto TimeLeft(TimePoint deadline) -> std::chrono::milliseconds;
 
 }  // namespace rhubarbhaven
--- a/Source/Client/command_line.cc
+++ b/Source/Client/command_line.cc
@@ -43,7 +43,8 @@
       << kExitCodes;
 }
 
-// Takes the command's name off the front; null if there is none.
+// Removes the command's name from the front of `arguments`. Returns null if
+// they begin with no command.
 auto TakeCommand(std::vector<std::string>* arguments) -> const Command* {
   for (const auto& command : Commands()) {
     const auto words =
@@ -67,8 +68,9 @@
   return word == "help" || word == "--help" || word == "-h";
 }
 
-auto CheckCount(const Command& command, std::size_t count) -> absl::Status {
-  if (count >= command.least_arguments && count <= command.most_arguments) {
+auto CheckArgumentCount(const Command& command, std::size_t count)
+    -> absl::Status {
+  if (count >= command.min_arguments && count <= command.max_arguments) {
     return absl::OkStatus();
   }
   return absl::InvalidArgumentError(absl::StrCat(
@@ -81,7 +83,7 @@
 auto RunCommand(const std::vector<std::string>& arguments,
                 std::ostream& out,
                 std::ostream& err) -> ExitCode {
-  // Options of an earlier call in the same process must not linger.
+  // Options of an earlier call in the same process must not remain set.
   const gflags::FlagSaver saver;
   CommandContext context{arguments, out, err, TimePoint()};
   if (arguments.empty() || IsHelp(arguments.front())) {
@@ -103,7 +105,7 @@
     return ExitCode::kOk;
   }
   if (status.ok()) {
-    status = CheckCount(*command, context.arguments.size());
+    status = CheckArgumentCount(*command, context.arguments.size());
   }
   if (!status.ok()) {
     return Fail(&context, status);
--- a/Source/Client/command_line.h
+++ b/Source/Client/command_line.h
@@ -12,19 +12,19 @@
   kOk = 0,
   // The command failed for another reason.
   kFailed = 1,
-  // The command line or a file is wrong; nothing was sent.
+  // The command line or a file is invalid. Nothing was sent.
   kUsage = 2,
-  // Somebody else changed the same object first.
+  // Another change to the same object was applied first.
   kConflict = 3,
-  // The change was refused as invalid.
+  // The change was rejected as invalid.
   kRefused = 4,
   // The platform's log or an entry cannot be reached.
   kUnreachable = 5,
-  // The wait ended before everybody had it in force.
+  // The wait timed out before the change was in force everywhere.
   kTimeout = 6
 };
 
-// Runs one command: `arguments` without the program's name.
+// Runs one command. `arguments` does not contain the program's name.
 auto RunCommand(const std::vector<std::string>& arguments,
                 std::ostream& out,
                 std::ostream& err) -> ExitCode;
--- a/Source/Client/config_session.cc
+++ b/Source/Client/config_session.cc
@@ -14,7 +14,7 @@
 constexpr uint32_t kReadLimit = 100;
 constexpr std::chrono::milliseconds kAppendTimeout{3000};
 constexpr std::chrono::milliseconds kReadWait{500};
-constexpr std::chrono::milliseconds kRetry{100};
+constexpr std::chrono::milliseconds kRetryInterval{100};
 
 }  // namespace
 
@@ -24,7 +24,7 @@
       reader_(0),
       incarnation_(RandomIncarnation()) {}
 
-auto ConfigSession::ReadOnce(std::chrono::milliseconds wait) -> absl::Status {
+auto ConfigSession::ReadBatch(std::chrono::milliseconds wait) -> absl::Status {
   const auto batch = log_.Read(kConfigStream, reader_.next(), kReadLimit,
                                std::min(wait, TimeLeft(deadline_)));
   if (!batch.ok()) {
@@ -50,7 +50,7 @@
 auto ConfigSession::CatchUp() -> absl::Status {
   at_end_ = false;
   while (!at_end_) {
-    auto status = ReadOnce(std::chrono::milliseconds(0));
+    auto status = ReadBatch(std::chrono::milliseconds(0));
     if (!status.ok()) {
       return status;
     }
@@ -84,10 +84,11 @@
     if (last) {
       return absl::NotFoundError("not in the log");
     }
-    auto status = ReadOnce(to_end ? std::chrono::milliseconds(0) : kReadWait);
+    auto status = ReadBatch(to_end ? std::chrono::milliseconds(0) : kReadWait);
     if (!status.ok()) {
       problem = std::move(status);
-      std::this_thread::sleep_for(std::min(kRetry, TimeLeft(deadline_)));
+      std::this_thread::sleep_for(
+          std::min(kRetryInterval, TimeLeft(deadline_)));
     }
   }
   return problem;
@@ -103,7 +104,7 @@
   *record.add_entries()->mutable_config_change() = std::move(change);
   const std::string bytes = record.SerializeAsString();
   std::string problem = "the time is over";
-  bool maybe_taken = false;
+  bool maybe_appended = false;
   while (Clock::now() < deadline_) {
     const auto result = log_.Append(
         kConfigStream, bytes, std::min(kAppendTimeout, TimeLeft(deadline_)));
@@ -117,18 +118,18 @@
           result.offset, ", its outcome could not be read; see \"show\""));
     }
     problem = result.problem;
-    if (result.kind == AppendResult::Kind::kRefused && !maybe_taken) {
+    if (result.kind == AppendResult::Kind::kRefused && !maybe_appended) {
       return absl::UnavailableError(
           absl::StrCat(problem, "; nothing was changed, try again later"));
     }
-    // The answer was lost: the change may be in the log all the same. Sent
-    // again at once it would stand there twice, so it is looked for first.
-    maybe_taken = true;
+    // The answer was lost, but the change may be in the log. Appending it again
+    // immediately could duplicate it, so the log is searched for it first.
+    maybe_appended = true;
     auto outcome = AwaitOutcome(id, true);
     if (outcome.ok()) {
       return outcome;
     }
-    std::this_thread::sleep_for(std::min(kRetry, TimeLeft(deadline_)));
+    std::this_thread::sleep_for(std::min(kRetryInterval, TimeLeft(deadline_)));
   }
   return absl::UnavailableError(
       absl::StrCat(problem, "; the change ", id,
--- a/Source/Client/config_session.h
+++ b/Source/Client/config_session.h
@@ -11,26 +11,27 @@
 
 namespace rhubarbhaven {
 
-// One command's work on the configuration stream: reads it to its end, folds
-// it, and submits changes. Blocking; every call ends by the deadline.
+// Access of one command to the configuration stream: reads it to its end, folds
+// it, and submits changes. Calls block, at the longest until the deadline.
 class ConfigSession {
  public:
   ConfigSession(std::string log_url, TimePoint deadline);
 
-  // Reads to the end. Unavailable if the log cannot be reached, or if its
-  // oldest records are gone and no snapshot replaces them yet.
+  // Reads the stream to its end. Returns Unavailable if the log cannot be
+  // reached or cannot be read to its end by the deadline, or if its oldest
+  // records have expired and no snapshot replaces them yet.
   auto CatchUp() -> absl::Status;
   auto fold() const -> const ConfigFold&;
 
-  // Appends the change and waits for what the fold makes of it. An error is
-  // Unavailable and says whether the change may have been taken.
+  // Appends the change and waits for its outcome in the fold. An error is
+  // Unavailable; its message states whether the change may have been appended.
   auto Submit(schema::ConfigChange change)
       -> absl::StatusOr<schema::ChangeOutcome>;
 
  private:
-  auto ReadOnce(std::chrono::milliseconds wait) -> absl::Status;
-  // Until the outcome is known, the deadline, or, where `to_end`, the end of
-  // the stream as it is now.
+  auto ReadBatch(std::chrono::milliseconds wait) -> absl::Status;
+  // Reads until the outcome is known, the deadline passes or, with `to_end`,
+  // the current end of the stream is reached.
   auto AwaitOutcome(const std::string& change_id, bool to_end)
       -> absl::StatusOr<schema::ChangeOutcome>;
 
@@ -43,7 +44,7 @@
   uint64_t sequence_ = 0;
 };
 
-// An id for a change that no other change has.
+// Returns a random 128-bit id in hexadecimal.
 auto NewChangeId() -> std::string;
 
 }  // namespace rhubarbhaven
--- a/Source/Client/entry_client.cc
+++ b/Source/Client/entry_client.cc
@@ -15,7 +15,8 @@
 constexpr unsigned kHttpNotFound = 404;
 constexpr std::size_t kMaxAnswerBytes = 64 << 20;
 
-// Names hold only bytes that need no escape in a query, see the register.
+// Names need no escaping in a query: the check of the register allows no bytes
+// that would.
 auto Query(const TaskName& task) -> std::string {
   return absl::StrCat("?partner=", task.partner, "&job=", task.job,
                       "&index=", task.index);
@@ -60,7 +61,7 @@
   }
   const unsigned status = reply.http.status();
   google::protobuf::util::JsonParseOptions options;
-  // A newer entry may say more than this client knows.
+  // A newer entry may send fields that this client does not know.
   options.ignore_unknown_fields = true;
   const auto parsed = google::protobuf::util::JsonStringToMessage(
       reply.http.body(), answer, options);
@@ -85,8 +86,8 @@
     if (status.ok()) {
       return status;
     }
-    // An entry that was not reached may be the owner, so that "does not own"
-    // from the others is not the whole truth.
+    // An entry that cannot be reached may be the owner, so its error takes
+    // precedence over "does not own the cell" from the others.
     if (problem.ok() || !absl::IsUnavailable(problem)) {
       problem = std::move(status);
     }
--- a/Source/Client/entry_client.h
+++ b/Source/Client/entry_client.h
@@ -12,7 +12,7 @@
 
 namespace rhubarbhaven {
 
-// "partner/job/index".
+// A task, written as "partner/job/index".
 struct TaskName {
   std::string partner;
   std::string job;
@@ -20,15 +20,17 @@
 };
 auto ParseTaskName(const std::string& text) -> absl::StatusOr<TaskName>;
 
-// Blocking calls of the entries' operator interface. Unavailable if an entry
-// cannot be reached; NotFound if it does not own what was asked for.
+// Blocking calls of the entries' operator interface. They return Unavailable if
+// an entry cannot be reached, and Status() and Tasks() return NotFound if it
+// does not own the cell.
 class EntryClient {
  public:
   explicit EntryClient(std::vector<std::string> urls);
 
   auto Status(const std::string& url) -> absl::StatusOr<schema::OperatorStatus>;
   auto Tasks(const std::string& url) -> absl::StatusOr<schema::OperatorTasks>;
-  // Ask one entry after the other, until one knows.
+  // These call one entry after the other until one answers. They return
+  // Unavailable if no entry owns the cell.
   auto Explain(const TaskName& task) -> absl::StatusOr<std::string>;
   auto Evict(const TaskName& task) -> absl::Status;
 
--- a/Source/Client/file_check.h
+++ b/Source/Client/file_check.h
@@ -12,8 +12,9 @@
 
 enum class FileKind { kSettings, kRegister };
 
-// Tells a daemon's settings file from a register by its fields, and checks
-// it. An error is one line: file, field, found, allowed.
+// Determines by its fields whether a file is a daemon's settings file or a
+// register, and validates it. An error is one line with the file, the field,
+// the value found and the values allowed.
 auto CheckFile(const std::string& path) -> absl::StatusOr<FileKind>;
 
 struct Register {
--- a/Source/Client/in_force_wait.cc
+++ b/Source/Client/in_force_wait.cc
@@ -15,9 +15,9 @@
 
 constexpr std::chrono::milliseconds kPollInterval{100};
 
-auto LaggingOfAll(EntryClient* entries, uint64_t offset)
+auto LaggingAtAnyEntry(EntryClient* entries, uint64_t offset)
     -> std::vector<std::string> {
-  // Several entries may list one agent.
+  // More than one entry may list the same agent.
   std::set<std::string> names;
   for (const auto& url : entries->urls()) {
     const auto status = entries->Status(url);
@@ -25,8 +25,8 @@
       names.insert(absl::StrCat(url, " (no answer)"));
       continue;
     }
-    const auto some = Lagging(*status, offset);
-    names.insert(some.begin(), some.end());
+    const auto lagging = Lagging(*status, offset);
+    names.insert(lagging.begin(), lagging.end());
   }
   return {names.begin(), names.end()};
 }
@@ -53,9 +53,9 @@
                  uint64_t offset,
                  TimePoint deadline,
                  std::ostream& progress) -> absl::Status {
-  std::vector<std::string> before;
+  std::vector<std::string> previous;
   while (true) {
-    const auto names = LaggingOfAll(entries, offset);
+    const auto names = LaggingAtAnyEntry(entries, offset);
     if (names.empty()) {
       return absl::OkStatus();
     }
@@ -64,11 +64,11 @@
           "offset ", offset,
           " is not in force everywhere: ", absl::StrJoin(names, ", ")));
     }
-    if (names != before) {
+    if (names != previous) {
       progress << "waiting for " << names.size() << ": "
                << absl::StrJoin(names, ", ") << "\n";
     }
-    before = names;
+    previous = names;
     std::this_thread::sleep_for(std::min(kPollInterval, TimeLeft(deadline)));
   }
 }
--- a/Source/Client/in_force_wait.h
+++ b/Source/Client/in_force_wait.h
@@ -13,13 +13,14 @@
 
 namespace rhubarbhaven {
 
-// Who does not say yet that the configuration at `offset` is in force: names
-// with what they said last. An entry answers for itself and its agents.
+// The entry and those of its agents in `status` that have not yet applied the
+// configuration at `offset`, each with the offset that it has applied.
 auto Lagging(const schema::OperatorStatus& status, uint64_t offset)
     -> std::vector<std::string>;
 
-// Asks all entries until everybody has the offset in force, and writes a line
-// whenever those who lag change. DeadlineExceeded names who still lags.
+// Polls all entries until they and their agents have applied the configuration
+// at `offset`. Writes a line to `progress` whenever the set of processes that
+// lag changes. Returns DeadlineExceeded with the names of those that still lag.
 auto WaitInForce(EntryClient* entries,
                  uint64_t offset,
                  TimePoint deadline,
--- a/Source/Client/options.cc
+++ b/Source/Client/options.cc
@@ -34,7 +34,7 @@
 namespace rhubarbhaven {
 namespace {
 
-// gflags has a --help of its own, which lists every flag of the program.
+// gflags defines its own --help, which lists every flag of the program.
 constexpr char kHelp[] = "help";
 constexpr char kHelpFlag[] = "help_command";
 
@@ -49,7 +49,7 @@
   return absl::StrReplaceAll(name, {{"-", "_"}});
 }
 
-auto ShownName(const std::string& flag) -> std::string {
+auto DisplayName(const std::string& flag) -> std::string {
   return flag == kHelpFlag ? kHelp : absl::StrReplaceAll(flag, {{"_", "-"}});
 }
 
@@ -77,13 +77,15 @@
     value = absl::StrCat(info.current_value, ",", value);
   }
   if (gflags::SetCommandLineOption(flag.c_str(), value.c_str()).empty()) {
-    return Usage(absl::StrCat("option --", ShownName(flag), ": found \"", value,
-                              "\", allowed is a value of type ", info.type));
+    return Usage(absl::StrCat("option --", DisplayName(flag), ": found \"",
+                              value, "\", allowed is a value of type ",
+                              info.type));
   }
   return absl::OkStatus();
 }
 
-// A yes-or-no option that was given with "no" in front, or nothing.
+// Returns the Boolean option that `flag` negates with the prefix "no", or an
+// empty string.
 auto NegatedFlag(const std::vector<std::string>& allowed,
                  const std::string& flag) -> std::string {
   if (!absl::StartsWith(flag, "no")) {
@@ -147,7 +149,7 @@
   std::string text;
   for (const auto& name : names) {
     const auto info = gflags::GetCommandLineFlagInfoOrDie(name.c_str());
-    std::string shown = absl::StrCat("--", ShownName(name));
+    std::string shown = absl::StrCat("--", DisplayName(name));
     if (info.type != "bool") {
       absl::StrAppend(&shown, " ", info.type == "string" ? "TEXT" : "NUMBER");
     }
--- a/Source/Client/options.h
+++ b/Source/Client/options.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-// Options of all commands; which command takes which is in its `Command`.
+// Options of all commands. `Command::options` lists those that a command takes.
 DECLARE_string(log_url);
 DECLARE_string(entry);
 DECLARE_string(expect);
@@ -26,17 +26,19 @@
 // Options that every command takes.
 auto GlobalOptions() -> const std::vector<std::string>&;
 
-// Sets the flags that stand in `arguments` and returns the rest. Only those
-// named in `allowed` and the global ones are known. "--no-" and "--no" before
-// a yes-or-no option turn it off.
+// Sets the flags given in `arguments` and appends the other arguments to
+// `positional`. Returns InvalidArgument for options that are neither in
+// `allowed` nor global, and for invalid values. The prefixes "--no-" and "--no"
+// turn a Boolean option off.
 auto ParseOptions(const std::vector<std::string>& arguments,
                   const std::vector<std::string>& allowed,
                   std::vector<std::string>* positional) -> absl::Status;
 
-// One line for each option: name, default and description.
+// One line for each option, with its name, description and default.
 auto DescribeOptions(const std::vector<std::string>& names) -> std::string;
 
-// The parts of a list option, which were given one by one or with commas.
+// Splits the value of a list option at commas. Values of a repeated option have
+// been joined with commas.
 auto ListOption(const std::string& value) -> std::vector<std::string>;
 
 }  // namespace rhubarbhaven
--- a/Source/Client/table.h
+++ b/Source/Client/table.h
@@ -7,7 +7,8 @@
 
 namespace rhubarbhaven {
 
-// A table for people: columns as wide as their widest cell, two spaces apart.
+// A plain-text table: each column is as wide as its widest cell, and columns
+// are two spaces apart.
 class Table {
  public:
   explicit Table(std::vector<std::string> headings);
@@ -16,7 +17,7 @@
   auto Print(std::ostream& out) const -> void;
 
  private:
-  // The headings come first.
+  // The first row has the headings.
   std::vector<std::vector<std::string>> rows_;
 };
 
--- a/Source/Client/view_commands.cc
+++ b/Source/Client/view_commands.cc
@@ -27,7 +27,7 @@
   return absl::StrCat(number);
 }
 
-// Two tables are an empty line apart.
+// Prints an empty line before the table. Prints nothing if it has no rows.
 auto PrintTable(const Table& table, CommandContext* context) -> void {
   if (!table.empty()) {
     context->out << "\n";
@@ -99,16 +99,16 @@
   table.Print(context->out);
 }
 
-// True if the object's key or kind is what the argument asks for.
-auto IsAskedFor(const CommandContext& context, const schema::ObjectKey& key)
-    -> bool {
+// True if there is no argument, or if it is the object's kind or key.
+auto MatchesArgument(const CommandContext& context,
+                     const schema::ObjectKey& key) -> bool {
   if (context.arguments.empty()) {
     return true;
   }
-  const std::string& asked = context.arguments.front();
-  return asked == key.kind() ||
-         asked == absl::StrCat(key.kind(), "/", key.name()) ||
-         asked == KeyText(key);
+  const std::string& argument = context.arguments.front();
+  return argument == key.kind() ||
+         argument == absl::StrCat(key.kind(), "/", key.name()) ||
+         argument == KeyText(key);
 }
 
 auto ParsedTask(CommandContext* context) -> absl::StatusOr<TaskName> {
@@ -148,7 +148,7 @@
   Table table({"PARTNER", "KIND", "NAME", "VERSION", "CREATED", "VALUE"});
   for (const auto& object : session.fold().objects()) {
     if (!IsShown(object.key().partner()) ||
-        !IsAskedFor(*context, object.key())) {
+        !MatchesArgument(*context, object.key())) {
       continue;
     }
     *shown.add_objects() = object;
--- a/Source/Client/view_commands.h
+++ b/Source/Client/view_commands.h
@@ -5,7 +5,7 @@
 
 namespace rhubarbhaven {
 
-// Commands that look, and those that ask an entry to act.
+// Commands that check a file, show the state, or send a request to an entry.
 auto RunCheck(CommandContext* context) -> ExitCode;
 auto RunShow(CommandContext* context) -> ExitCode;
 auto RunStatus(CommandContext* context) -> ExitCode;
--- a/Source/Daemon/admission_duty.cc
+++ b/Source/Daemon/admission_thread.cc
@@ -1,4 +1,4 @@
-#include "Daemon/admission_duty.h"
+#include "Daemon/admission_thread.h"
 
 #include <utility>
 #include <variant>
@@ -22,17 +22,17 @@
 
 }  // namespace
 
-AdmissionDuty::AdmissionDuty(const schema::DaemonSettings& settings,
-                             uint64_t incarnation,
-                             AdmissionHooks hooks,
-                             Metrics* metrics)
+AdmissionThread::AdmissionThread(const schema::DaemonSettings& settings,
+                                 uint64_t incarnation,
+                                 AdmissionHooks hooks,
+                                 Metrics* metrics)
     : entries_(settings.agent().entries().begin(),
                settings.agent().entries().end()),
       admission_(OptionsOf(settings, incarnation)),
       hooks_(std::move(hooks)),
       metrics_(metrics),
       thread_({.on_tick = [this](TimePoint now) -> void {
-                 Carry(admission_.OnTick(now));
+                 ExecuteActions(admission_.OnTick(now));
                },
                .next_wake = [this]() -> TimePoint {
                  return admission_.next_wake();
@@ -43,73 +43,73 @@
   }
 }
 
-auto AdmissionDuty::Start() -> void {
+auto AdmissionThread::Start() -> void {
   thread_.Start();
   thread_.PostOrWait([this](TimePoint now) -> void {
-    Carry(admission_.SetEntries(now, entries_));
+    ExecuteActions(admission_.SetEntries(now, entries_));
   });
 }
 
-auto AdmissionDuty::Stop() -> void {
+auto AdmissionThread::Stop() -> void {
   thread_.Stop();
 }
 
-auto AdmissionDuty::OnMessage(std::string entry, schema::Envelope message)
+auto AdmissionThread::OnMessage(std::string entry, schema::Envelope message)
     -> void {
-  const bool taken =
+  const bool accepted =
       thread_.Post([this, entry = std::move(entry),
                     message = std::move(message)](TimePoint now) -> void {
-        Carry(admission_.OnMessage(now, entry, message));
+        ExecuteActions(admission_.OnMessage(now, entry, message));
       });
-  if (!taken) {
+  if (!accepted) {
     metrics_->AddReason("dropped", schema::RING_FULL);
   }
 }
 
-auto AdmissionDuty::SetIdentity(schema::Announce identity) -> void {
+auto AdmissionThread::SetIdentity(schema::Announce identity) -> void {
   thread_.PostOrWait([this, identity = std::move(identity)](TimePoint) -> void {
     admission_.SetIdentity(identity);
   });
 }
 
-auto AdmissionDuty::SetEndpointHealthy(bool healthy) -> void {
+auto AdmissionThread::SetEndpointHealthy(bool healthy) -> void {
   thread_.PostOrWait([this, healthy](TimePoint now) -> void {
-    Carry(admission_.SetEndpointHealthy(now, healthy));
+    ExecuteActions(admission_.SetEndpointHealthy(now, healthy));
   });
 }
 
-auto AdmissionDuty::Leave() -> void {
+auto AdmissionThread::Leave() -> void {
   thread_.PostOrWait(
-      [this](TimePoint now) -> void { Carry(admission_.Leave(now)); });
+      [this](TimePoint now) -> void { ExecuteActions(admission_.Leave(now)); });
 }
 
-auto AdmissionDuty::Carry(const AdmissionActions& actions) -> void {
+auto AdmissionThread::ExecuteActions(const AdmissionActions& actions) -> void {
   for (const auto& action : actions) {
-    std::visit([this](const auto& one) -> void { CarryOne(one); }, action);
+    std::visit([this](const auto& one) -> void { ExecuteAction(one); }, action);
   }
   idle_ = admission_.idle();
   metrics_->SetGauge("rhubarbhaven_endpoint_running", admission_.running());
   metrics_->SetGauge("rhubarbhaven_endpoint_queued", admission_.queued());
 }
 
-auto AdmissionDuty::CarryOne(const CallEndpoint& call) -> void {
+auto AdmissionThread::ExecuteAction(const CallEndpoint& call) -> void {
   endpoint_->Start(call, [this](EndpointOutcome outcome) -> void {
     metrics_->RecordLatency("rhubarbhaven_endpoint_seconds",
                             outcome.service_time);
     thread_.PostOrWait(
         [this, outcome = std::move(outcome)](TimePoint now) -> void {
-          Carry(admission_.OnEndpointAnswer(now, outcome));
+          ExecuteActions(admission_.OnEndpointAnswer(now, outcome));
         });
   });
 }
 
-auto AdmissionDuty::CarryOne(const SendToEntry& send) -> void {
+auto AdmissionThread::ExecuteAction(const SendToEntry& send) -> void {
   if (!hooks_.send(send.entry, send.message)) {
     metrics_->AddReason("dropped", schema::RING_FULL);
   }
 }
 
-auto AdmissionDuty::CarryOne(const CountRejection& count) -> void {
+auto AdmissionThread::ExecuteAction(const CountRejection& count) -> void {
   metrics_->AddReason("refused", count.reason);
 }
 
--- a/Source/Daemon/agent_daemon.cc
+++ b/Source/Daemon/agent_daemon.cc
@@ -37,7 +37,7 @@
       incarnation_(RandomIncarnation()),
       log_(PartLogger("agent")),
       identity_(IdentityOf(settings)),
-      link_(MakeLink()),
+      link_(MakeLinkOptions()),
       admission_(settings,
                  incarnation_,
                  {.send = [this](const std::string& entry,
@@ -46,12 +46,13 @@
                  }},
                  &metrics_) {
   if (!settings.agent().worker_url().empty()) {
-    const KeeperHooks hooks{.send = [this](const std::string& entry,
-                                           schema::Envelope message) -> bool {
-      return Send(entry, std::move(message));
-    }};
-    keeper_ =
-        std::make_unique<KeeperDuty>(settings, incarnation_, hooks, &metrics_);
+    const SupervisorHooks hooks{
+        .send = [this](const std::string& entry,
+                       schema::Envelope message) -> bool {
+          return Send(entry, std::move(message));
+        }};
+    supervisor_ = std::make_unique<SupervisorThread>(settings, incarnation_,
+                                                     hooks, &metrics_);
   }
   if (!settings.agent().endpoint_url().empty()) {
     probe_ = std::make_unique<HealthProbe>(
@@ -76,8 +77,8 @@
   if (!status.ok()) {
     return status;
   }
-  if (keeper_) {
-    keeper_->Start();
+  if (supervisor_) {
+    supervisor_->Start();
   }
   if (probe_) {
     probe_->Start();
@@ -88,20 +89,20 @@
 }
 
 auto AgentDaemon::Stop() -> void {
-  log_->info("Planned stop begins. id={}", settings_.id());
+  log_->info("Planned stop started. id={}", settings_.id());
   stopping_ = true;
   if (probe_) {
     probe_->Stop();
   }
   admission_.Leave();
-  if (keeper_) {
-    keeper_->Leave();
+  if (supervisor_) {
+    supervisor_->Leave();
   }
   WaitIdle();
   link_.Stop(kLinkLinger);
   admission_.Stop();
-  if (keeper_) {
-    keeper_->Stop();
+  if (supervisor_) {
+    supervisor_->Stop();
   }
   http_.reset();
   log_->info("Agent stopped. id={}", settings_.id());
@@ -111,13 +112,13 @@
   const TimePoint limit = Clock::now() + std::chrono::milliseconds(
                                              settings_.agent().stop_grace_ms());
   while (Clock::now() < limit &&
-         !(admission_.idle() && (!keeper_ || keeper_->idle()))) {
+         !(admission_.idle() && (!supervisor_ || supervisor_->idle()))) {
     std::this_thread::sleep_for(kIdlePoll);
   }
   if (!admission_.idle()) {
     log_->warn(
-        "Requests were still in progress at the end of the grace time. "
-        "Raise agent.stop_grace_ms.");
+        "Requests were still in progress at the end of the grace period. "
+        "Increase agent.stop_grace_ms.");
   }
 }
 
@@ -126,7 +127,7 @@
   return link_.Send(entry, std::move(message));
 }
 
-auto AgentDaemon::MakeLink() -> LinkOptions {
+auto AgentDaemon::MakeLinkOptions() -> LinkOptions {
   LinkOptions options;
   options.id = settings_.id();
   options.incarnation = incarnation_;
@@ -151,8 +152,8 @@
       break;
     case schema::Envelope::kLeaseGrant:
     case schema::Envelope::kTaskOrder:
-      if (keeper_) {
-        keeper_->OnMessage(entry, std::move(message));
+      if (supervisor_) {
+        supervisor_->OnMessage(entry, std::move(message));
       }
       break;
     case schema::Envelope::kConfigNotice:
@@ -163,9 +164,9 @@
   }
 }
 
-// Entries may be apart: one that was cut off from the log tells an older
-// configuration. The agent keeps the newest that it was told, so that no
-// version goes down.
+// Entries may have applied different configurations: one that cannot reach the
+// log sends an older one. The agent keeps the newest version that it received,
+// so that its version never decreases.
 auto AgentDaemon::OnNotice(const schema::ConfigNotice& notice) -> void {
   if (notice.applied() <= identity_.config_applied()) {
     return;
--- a/Source/Daemon/agent_daemon.h
+++ b/Source/Daemon/agent_daemon.h
@@ -8,15 +8,15 @@
 #include <mutex>
 #include <string>
 
-#include "Daemon/admission_duty.h"
+#include "Daemon/admission_thread.h"
 #include "Daemon/health_probe.h"
-#include "Daemon/keeper_duty.h"
+#include "Daemon/supervisor_thread.h"
 #include "Transport/transport.h"
 
 namespace rhubarbhaven {
 
-// The process beside one endpoint and one worker: admits requests to the
-// endpoint, and keeps the tasks that the worker runs.
+// The agent process of one endpoint and one worker: admits requests to the
+// endpoint, and supervises the tasks that the worker runs.
 class AgentDaemon {
  public:
   explicit AgentDaemon(const schema::DaemonSettings& settings);
@@ -25,12 +25,12 @@
   ~AgentDaemon();
 
   auto Start() -> absl::Status;
-  // A planned stop: takes no new work, finishes requests in progress, stops
-  // tasks after a checkpoint.
+  // A planned stop: accepts no new work, finishes requests in progress, and
+  // stops tasks after a checkpoint.
   auto Stop() -> void;
 
  private:
-  auto MakeLink() -> LinkOptions;
+  auto MakeLinkOptions() -> LinkOptions;
   auto OnLinkMessage(const std::string& entry, schema::Envelope message)
       -> void;
   auto OnNotice(const schema::ConfigNotice& notice) -> void;
@@ -45,13 +45,14 @@
   std::shared_ptr<spdlog::logger> log_;
   Metrics metrics_;
   std::atomic<bool> stopping_ = false;
-  // Belongs to the link's thread after the start.
+  // Accessed only on the link's thread after Start().
   schema::Announce identity_;
-  // Ends after everything that sends through it.
+  // Declared before the members that send through it, so that it is destroyed
+  // after them.
   Link link_;
-  AdmissionDuty admission_;
-  // Empty if there is no worker or no endpoint.
-  std::unique_ptr<KeeperDuty> keeper_;
+  AdmissionThread admission_;
+  // `supervisor_` is null without a worker, `probe_` without an endpoint.
+  std::unique_ptr<SupervisorThread> supervisor_;
   std::unique_ptr<HealthProbe> probe_;
   std::unique_ptr<HttpServer> http_;
 };
--- a/Source/Daemon/agent_roster.cc
+++ b/Source/Daemon/agent_membership.cc
@@ -1,14 +1,14 @@
-#include "Daemon/agent_roster.h"
+#include "Daemon/agent_membership.h"
 
 namespace rhubarbhaven {
 namespace {
 
-constexpr std::chrono::seconds kSilent{2};
-constexpr std::chrono::seconds kForgotten{60};
+constexpr std::chrono::seconds kSilentAfter{2};
+constexpr std::chrono::seconds kRemoveAfter{60};
 
 }  // namespace
 
-auto AgentRoster::OnAnnounce(TimePoint now, const schema::Envelope& message)
+auto AgentMembership::OnAnnounce(TimePoint now, const schema::Envelope& message)
     -> const AgentView& {
   const auto& announce = message.announce();
   AgentView& view = agents_[message.sender()];
@@ -19,29 +19,29 @@
   view.service = announce.service();
   view.config_applied = announce.config_applied();
   view.leaving = announce.leaving();
-  view.heard = now;
+  view.announced_at = now;
   return view;
 }
 
-auto AgentRoster::ForgetSilent(TimePoint now) -> void {
+auto AgentMembership::RemoveExpired(TimePoint now) -> void {
   std::erase_if(agents_, [now](const auto& item) -> bool {
-    return now - item.second.heard > kForgotten;
+    return now - item.second.announced_at > kRemoveAfter;
   });
 }
 
-auto AgentRoster::Find(const std::string& agent) const -> const AgentView* {
+auto AgentMembership::Find(const std::string& agent) const -> const AgentView* {
   const auto found = agents_.find(agent);
   return found == agents_.end() ? nullptr : &found->second;
 }
 
-auto AgentRoster::ForEach(
+auto AgentMembership::ForEach(
     const std::function<auto(const AgentView&)->void>& visit) const -> void {
   for (const auto& [name, view] : agents_) {
     visit(view);
   }
 }
 
-auto AgentRoster::Statuses(TimePoint now) const
+auto AgentMembership::Statuses(TimePoint now) const
     -> std::vector<schema::AgentStatus> {
   std::vector<schema::AgentStatus> statuses;
   for (const auto& [name, view] : agents_) {
@@ -49,7 +49,7 @@
     status.set_agent(view.agent);
     status.set_instance(view.instance);
     status.set_config_applied(view.config_applied);
-    const bool silent = now - view.heard > kSilent;
+    const bool silent = now - view.announced_at > kSilentAfter;
     status.set_state(silent ? "silent" : view.leaving ? "leaving" : "ready");
     statuses.push_back(status);
   }
--- a/Source/Daemon/agent_roster.h
+++ b/Source/Daemon/agent_membership.h
@@ -1,5 +1,5 @@
-#ifndef RHUBARBHAVEN_DAEMON_AGENT_ROSTER_H_
-#define RHUBARBHAVEN_DAEMON_AGENT_ROSTER_H_
+#ifndef RHUBARBHAVEN_DAEMON_AGENT_MEMBERSHIP_H_
+#define RHUBARBHAVEN_DAEMON_AGENT_MEMBERSHIP_H_
 
 #include <functional>
 #include <map>
@@ -10,7 +10,7 @@
 
 namespace rhubarbhaven {
 
-// What is known of an agent from its announcements.
+// The state of an agent as its latest announcement gave it.
 struct AgentView {
   std::string agent;
   std::string instance;
@@ -19,16 +19,17 @@
   uint64_t incarnation = 0;
   uint64_t config_applied = 0;
   bool leaving = false;
-  TimePoint heard;
+  TimePoint announced_at;
 };
 
-// The agents that announced themselves lately.
-class AgentRoster {
+// The agents that have announced themselves within the last 60 s.
+class AgentMembership {
  public:
   auto OnAnnounce(TimePoint now, const schema::Envelope& message)
       -> const AgentView&;
-  // Drops agents that were not heard for long; they come back by announcing.
-  auto ForgetSilent(TimePoint now) -> void;
+  // Removes agents that have not announced themselves for more than 60 s. Their
+  // next announcement adds them again.
+  auto RemoveExpired(TimePoint now) -> void;
   auto Find(const std::string& agent) const -> const AgentView*;
   auto ForEach(const std::function<auto(const AgentView&)->void>& visit) const
       -> void;
@@ -40,4 +41,4 @@
 
 }  // namespace rhubarbhaven
 
-#endif  // RHUBARBHAVEN_DAEMON_AGENT_ROSTER_H_
+#endif  // RHUBARBHAVEN_DAEMON_AGENT_MEMBERSHIP_H_
--- a/Source/Daemon/caller_api.cc
+++ b/Source/Daemon/caller_api.cc
@@ -18,11 +18,11 @@
 constexpr char kRequestIdHeader[] = "rhubarbhaven-request-id";
 constexpr char kRepeatableHeader[] = "rhubarbhaven-repeatable";
 constexpr char kKeyHeader[] = "idempotency-key";
-constexpr std::size_t kLongestName = 128;
-constexpr std::size_t kLongestKey = 256;
+constexpr std::size_t kMaxNameBytes = 128;
+constexpr std::size_t kMaxKeyBytes = 256;
 
-// Headers that belong to one connection and are not passed on (RFC 9110,
-// section 7.6.1), and those that each hop sets itself.
+// Hop-by-hop headers, which are not forwarded (RFC 9110, section 7.6.1), and
+// headers that each hop sets itself.
 constexpr std::array kHopHeaders = {
     "connection", "keep-alive", "proxy-authenticate", "proxy-authorization",
     "te",         "trailer",    "transfer-encoding",  "upgrade",
@@ -103,7 +103,7 @@
   }
 }
 
-auto IsPassedBack(const std::string& name) -> bool {
+auto IsReturnedToCaller(const std::string& name) -> bool {
   return !IsHopHeader(name) && name != "rhubarbhaven-attempt-id";
 }
 
@@ -131,8 +131,8 @@
       http.path.substr(sizeof(kCallPath) - 1), absl::MaxSplits('/', 2));
   constexpr std::size_t kPartnerAndService = 2;
   if (parts.size() < kPartnerAndService || parts[0].empty() ||
-      parts[1].empty() || parts[0].size() > kLongestName ||
-      parts[1].size() > kLongestName) {
+      parts[1].empty() || parts[0].size() > kMaxNameBytes ||
+      parts[1].size() > kMaxNameBytes) {
     return schema::BAD_REQUEST;
   }
   const auto deadline = ParseDeadline(http, settings);
@@ -141,7 +141,7 @@
   }
   const std::string key = Header(http, kKeyHeader);
   const std::string repeatable = Header(http, kRepeatableHeader);
-  if (key.size() > kLongestKey ||
+  if (key.size() > kMaxKeyBytes ||
       (!repeatable.empty() && repeatable != "true" && repeatable != "false")) {
     return schema::BAD_REQUEST;
   }
@@ -153,7 +153,7 @@
   request.repeatable = repeatable.empty() ? IsRepeatableMethod(http.method)
                                           : repeatable == "true";
   if (!request.repeatable && !key.empty()) {
-    // Keys of different services never meet.
+    // The prefix keeps equal keys of different services apart.
     request.idempotency_key = absl::StrCat(parts[0], "/", parts[1], "/", key);
   }
   request.deadline = *deadline;
@@ -177,7 +177,7 @@
     answer.status = reply.http.status();
     answer.body = reply.http.body();
     for (const auto& header : reply.http.headers()) {
-      if (IsPassedBack(header.name())) {
+      if (IsReturnedToCaller(header.name())) {
         answer.headers[header.name()] = header.value();
       }
     }
@@ -196,7 +196,8 @@
   return answer;
 }
 
-auto RenderRefusal(schema::Reason reason, std::chrono::milliseconds retry_after)
+auto RenderRejection(schema::Reason reason,
+                     std::chrono::milliseconds retry_after)
     -> HttpServerAnswer {
   HttpServerAnswer answer;
   answer.status = HttpStatus(reason);
--- a/Source/Daemon/cell_duty.h
+++ b/Source/Daemon/cell_service.h
@@ -1,37 +1,39 @@
-#ifndef RHUBARBHAVEN_DAEMON_CELL_DUTY_H_
-#define RHUBARBHAVEN_DAEMON_CELL_DUTY_H_
+#ifndef RHUBARBHAVEN_DAEMON_CELL_SERVICE_H_
+#define RHUBARBHAVEN_DAEMON_CELL_SERVICE_H_
 
 #include <functional>
 #include <memory>
 #include <string>
 #include <vector>
 
-#include "Daemon/stream_duty.h"
+#include "Daemon/stream_service.h"
 #include "Tasks/tasks.h"
 
 namespace rhubarbhaven {
 
-struct CellDutyOptions {
+struct CellServiceOptions {
   OwnerOptions owner;
-  StreamDutyOptions stream;
+  StreamServiceOptions stream;
 };
 
 struct CellHooks {
-  // Runs a job on the thread to which the cell's state belongs.
+  // Runs a callback on the thread that owns the cell's state.
   std::function<auto(std::function<auto(TimePoint)->void>)->void> post;
   std::function<auto(const std::string& agent, schema::Envelope)->bool> send;
 };
 
-// One cell as this process sees it: its Owner and its stream. All methods but
-// Start and Stop run on the thread to which the state belongs.
-class CellDuty {
+// One cell in this process: its Owner and its stream. All methods except Start
+// and Stop must be called on the thread that owns the state.
+class CellService {
  public:
-  CellDuty(const CellDutyOptions& options, CellHooks hooks, Metrics* metrics);
-  CellDuty(const CellDuty&) = delete;
-  auto operator=(const CellDuty&) -> CellDuty& = delete;
+  CellService(const CellServiceOptions& options,
+              CellHooks hooks,
+              Metrics* metrics);
+  CellService(const CellService&) = delete;
+  auto operator=(const CellService&) -> CellService& = delete;
 
   auto Start() -> void { stream_.Start(); }
-  // Sends what waits for the log, for at most `limit`.
+  // Flushes pending appends to the log, for at most `limit`.
   auto Stop(std::chrono::milliseconds limit) -> void { stream_.Stop(limit); }
 
   auto OnConfig(TimePoint now,
@@ -47,17 +49,17 @@
 
  private:
   auto Hooks() -> StreamHooks;
-  auto Carry(TimePoint now, const OwnerActions& actions) -> void;
-  auto CarryOne(TimePoint now, const AppendToCell& append) -> void;
-  auto CarryOne(TimePoint now, const SendToSupervisor& order) -> void;
-  auto CarryOne(TimePoint now, const CountOwnerEvent& count) -> void;
+  auto ExecuteActions(TimePoint now, const OwnerActions& actions) -> void;
+  auto ExecuteAction(TimePoint now, const AppendToCell& append) -> void;
+  auto ExecuteAction(TimePoint now, const SendToSupervisor& order) -> void;
+  auto ExecuteAction(TimePoint now, const CountOwnerEvent& count) -> void;
 
   CellHooks hooks_;
   Metrics* metrics_;
   Owner owner_;
-  StreamDuty stream_;
+  StreamService stream_;
 };
 
 }  // namespace rhubarbhaven
 
-#endif  // RHUBARBHAVEN_DAEMON_CELL_DUTY_H_
+#endif  // RHUBARBHAVEN_DAEMON_CELL_SERVICE_H_
--- a/Source/Daemon/control_duty.cc
+++ b/Source/Daemon/control_thread.cc
@@ -1,4 +1,4 @@
-#include "Daemon/control_duty.h"
+#include "Daemon/control_thread.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,9 +6,9 @@
 namespace rhubarbhaven {
 namespace {
 
-constexpr std::chrono::milliseconds kAskPeersEvery{1000};
-constexpr std::chrono::milliseconds kTick{100};
-constexpr std::chrono::milliseconds kStopLimit{2000};
+constexpr std::chrono::milliseconds kPeerRequestInterval{1000};
+constexpr std::chrono::milliseconds kTickInterval{100};
+constexpr std::chrono::milliseconds kStopTimeout{2000};
 
 auto StatusOf(const TaskView& view) -> schema::TaskStatus {
   schema::TaskStatus task;
@@ -25,10 +25,10 @@
 
 }  // namespace
 
-ControlDuty::ControlDuty(const schema::DaemonSettings& settings,
-                         uint64_t incarnation,
-                         ControlHooks hooks,
-                         Metrics* metrics)
+ControlThread::ControlThread(const schema::DaemonSettings& settings,
+                             uint64_t incarnation,
+                             ControlHooks hooks,
+                             Metrics* metrics)
     : settings_(settings),
       incarnation_(incarnation),
       hooks_(std::move(hooks)),
@@ -41,10 +41,10 @@
   MakeCells(settings);
 }
 
-auto ControlDuty::MakeCells(const schema::DaemonSettings& settings) -> void {
+auto ControlThread::MakeCells(const schema::DaemonSettings& settings) -> void {
   const auto& entry = settings.entry();
   for (const auto& cell : entry.cells()) {
-    CellDutyOptions options;
+    CellServiceOptions options;
     options.stream = StreamOptionsOf(settings, incarnation_, CellStream(cell));
     options.owner.cell = cell;
     options.owner.entry_id = settings.id();
@@ -57,15 +57,15 @@
     options.owner.unverified_limit =
         std::chrono::seconds(entry.unverified_owner_limit_s());
     CellHooks hooks;
-    hooks.post = [this](const DutyThread::Job& job) -> void {
+    hooks.post = [this](const EventLoopThread::Callback& job) -> void {
       thread_.PostOrWait(job);
     };
     hooks.send = hooks_.send;
-    cells_[cell] = std::make_unique<CellDuty>(options, hooks, metrics_);
+    cells_[cell] = std::make_unique<CellService>(options, hooks, metrics_);
   }
 }
 
-auto ControlDuty::Start() -> void {
+auto ControlThread::Start() -> void {
   thread_.Start();
   config_stream_.Start();
   for (auto& [name, cell] : cells_) {
@@ -73,22 +73,22 @@
   }
 }
 
-auto ControlDuty::Stop() -> void {
+auto ControlThread::Stop() -> void {
   thread_.PostOrWait([this](TimePoint now) -> void {
     for (auto& [name, cell] : cells_) {
       cell->Release(now);
     }
   });
   for (auto& [name, cell] : cells_) {
-    cell->Stop(kStopLimit);
+    cell->Stop(kStopTimeout);
   }
-  config_stream_.Stop(kStopLimit);
+  config_stream_.Stop(kStopTimeout);
   thread_.Stop();
 }
 
-auto ControlDuty::ConfigHooks() -> StreamHooks {
+auto ControlThread::ConfigHooks() -> StreamHooks {
   StreamHooks hooks;
-  hooks.post = [this](const DutyThread::Job& job) -> void {
+  hooks.post = [this](const EventLoopThread::Callback& job) -> void {
     thread_.PostOrWait(job);
   };
   hooks.on_record = [this](TimePoint now, uint64_t offset,
@@ -110,7 +110,8 @@
   return hooks;
 }
 
-auto ControlDuty::AdoptConfig(TimePoint now, const std::string& bytes) -> bool {
+auto ControlThread::AdoptConfig(TimePoint now, const std::string& bytes)
+    -> bool {
   schema::ConfigState state;
   if (!state.ParseFromString(bytes) || !config_.Adopt(state)) {
     return false;
@@ -120,7 +121,7 @@
   return true;
 }
 
-auto ControlDuty::ConfigChanged(TimePoint now) -> void {
+auto ControlThread::ConfigChanged(TimePoint now) -> void {
   const auto objects = config_.objects();
   metrics_->SetGauge("rhubarbhaven_config_applied",
                      static_cast<double>(config_.applied()));
@@ -132,15 +133,15 @@
       [this](const AgentView& agent) -> void { SendNotice(agent); });
 }
 
-auto ControlDuty::OnMessage(std::string peer, schema::Envelope message)
+auto ControlThread::OnMessage(std::string peer, schema::Envelope message)
     -> void {
   Post([this, peer = std::move(peer), message = std::move(message)](
            TimePoint now) -> void { Dispatch(now, peer, message); });
 }
 
-auto ControlDuty::Dispatch(TimePoint now,
-                           const std::string& peer,
-                           const schema::Envelope& message) -> void {
+auto ControlThread::Dispatch(TimePoint now,
+                             const std::string& peer,
+                             const schema::Envelope& message) -> void {
   switch (message.body_case()) {
     case schema::Envelope::kAnnounce:
       OnAnnounce(now, message);
@@ -163,7 +164,7 @@
   }
 }
 
-auto ControlDuty::OnAnnounce(TimePoint now, const schema::Envelope& message)
+auto ControlThread::OnAnnounce(TimePoint now, const schema::Envelope& message)
     -> void {
   const AgentView& agent = agents_.OnAnnounce(now, message);
   if (agent.config_applied < config_.applied()) {
@@ -171,7 +172,7 @@
   }
 }
 
-auto ControlDuty::SendNotice(const AgentView& agent) -> void {
+auto ControlThread::SendNotice(const AgentView& agent) -> void {
   schema::Envelope message;
   auto* notice = message.mutable_config_notice();
   notice->set_applied(config_.applied());
@@ -190,8 +191,9 @@
   hooks_.send(agent.agent, std::move(message));
 }
 
-auto ControlDuty::OnStateRequest(const std::string& peer,
-                                 const schema::StateRequest& request) -> void {
+auto ControlThread::OnStateRequest(const std::string& peer,
+                                   const schema::StateRequest& request)
+    -> void {
   schema::Envelope message;
   auto* reply = message.mutable_state_reply();
   reply->set_stream(request.stream());
@@ -214,7 +216,7 @@
   }
 }
 
-auto ControlDuty::OnStateReply(TimePoint now, const schema::StateReply& reply)
+auto ControlThread::OnStateReply(TimePoint now, const schema::StateReply& reply)
     -> void {
   if (reply.stream() == kConfigStream) {
     if (AdoptConfig(now, reply.state())) {
@@ -232,13 +234,14 @@
   }
 }
 
-// While the log cannot be read, peers may know more: without asking them, a
-// process started in an outage would have no configuration, or an older one.
-auto ControlDuty::AskPeers(TimePoint now) -> void {
-  if (now < next_ask_ || (log_reachable_ && ready_)) {
+// While the log cannot be read, peers may have a newer state. Without these
+// requests, a process started during an outage of the log would have no
+// configuration, or an outdated one.
+auto ControlThread::RequestPeerStates(TimePoint now) -> void {
+  if (now < next_peer_request_ || (log_reachable_ && ready_)) {
     return;
   }
-  next_ask_ = now + kAskPeersEvery;
+  next_peer_request_ = now + kPeerRequestInterval;
   for (const auto& peer : settings_.entry().peers()) {
     schema::Envelope message;
     auto* request = message.mutable_state_request();
@@ -253,10 +256,10 @@
   }
 }
 
-auto ControlDuty::OnTick(TimePoint now) -> void {
-  next_wake_ = now + kTick;
-  AskPeers(now);
-  agents_.ForgetSilent(now);
+auto ControlThread::OnTick(TimePoint now) -> void {
+  next_wake_ = now + kTickInterval;
+  RequestPeerStates(now);
+  agents_.RemoveExpired(now);
   for (auto& [name, cell] : cells_) {
     cell->OnTick(now);
     metrics_->SetGauge("rhubarbhaven_owns_cell{cell=\"" + name + "\"}",
@@ -264,13 +267,13 @@
   }
 }
 
-auto ControlDuty::Post(DutyThread::Job job) -> void {
+auto ControlThread::Post(EventLoopThread::Callback job) -> void {
   if (!thread_.Post(std::move(job))) {
     metrics_->AddReason("dropped", schema::RING_FULL);
   }
 }
 
-auto ControlDuty::Status(
+auto ControlThread::Status(
     std::function<auto(schema::OperatorStatus)->void> answer) -> void {
   thread_.PostOrWait([this, answer = std::move(answer)](TimePoint now) -> void {
     schema::OperatorStatus status;
@@ -281,12 +284,12 @@
     for (const auto& agent : agents_.Statuses(now)) {
       *status.add_agents() = agent;
     }
-    FillInstances(now, status);
+    AddInstances(now, status);
     answer(std::move(status));
   });
 }
 
-auto ControlDuty::FillInstances(TimePoint now, schema::OperatorStatus& status)
+auto ControlThread::AddInstances(TimePoint now, schema::OperatorStatus& status)
     -> void {
   for (const auto& [name, cell] : cells_) {
     if (!cell->owner().owns()) {
@@ -306,7 +309,7 @@
   }
 }
 
-auto ControlDuty::Tasks(
+auto ControlThread::Tasks(
     std::function<auto(bool owned, schema::OperatorTasks)->void> answer)
     -> void {
   thread_.PostOrWait([this, answer = std::move(answer)](TimePoint now) -> void {
@@ -329,8 +332,8 @@
   });
 }
 
-auto ControlDuty::FindOwnerOf(TimePoint now, const schema::TaskId& task)
-    -> CellDuty* {
+auto ControlThread::FindOwnerOf(TimePoint now, const schema::TaskId& task)
+    -> CellService* {
   for (auto& [name, cell] : cells_) {
     if (!cell->owner().owns()) {
       continue;
@@ -349,32 +352,33 @@
   return nullptr;
 }
 
-// Operators name no job version; the job that exists now is meant.
-auto ControlDuty::WithTask(
+// Operators' requests contain no job version; they refer to the current job.
+auto ControlThread::WithTask(
     schema::TaskId task,
-    std::function<auto(TimePoint, const schema::TaskId&, CellDuty*)->void> use)
-    -> void {
-  thread_.PostOrWait([this, task = std::move(task),
-                      use = std::move(use)](TimePoint now) mutable -> void {
-    schema::ObjectKey key;
-    key.set_partner(task.partner());
-    key.set_kind("job");
-    key.set_name(task.job());
-    if (const auto job = config_.Find(key)) {
-      task.set_job_version(job->created());
-    }
-    use(now, task, FindOwnerOf(now, task));
-  });
+    std::function<auto(TimePoint, const schema::TaskId&, CellService*)->void>
+        on_found) -> void {
+  thread_.PostOrWait(
+      [this, task = std::move(task),
+       on_found = std::move(on_found)](TimePoint now) mutable -> void {
+        schema::ObjectKey key;
+        key.set_partner(task.partner());
+        key.set_kind("job");
+        key.set_name(task.job());
+        if (const auto job = config_.Find(key)) {
+          task.set_job_version(job->created());
+        }
+        on_found(now, task, FindOwnerOf(now, task));
+      });
 }
 
-auto ControlDuty::Explain(
+auto ControlThread::Explain(
     schema::TaskId task,
     std::function<auto(std::optional<schema::OperatorExplanation>)->void>
         answer) -> void {
   WithTask(
       std::move(task),
       [answer = std::move(answer)](TimePoint now, const schema::TaskId& found,
-                                   CellDuty* cell) -> void {
+                                   CellService* cell) -> void {
         if (cell == nullptr) {
           answer(std::nullopt);
           return;
@@ -385,14 +389,14 @@
       });
 }
 
-auto ControlDuty::Evict(
+auto ControlThread::Evict(
     schema::TaskId task,
     std::function<auto(std::optional<schema::OperatorReply>)->void> answer)
     -> void {
   WithTask(
       std::move(task),
       [answer = std::move(answer)](TimePoint now, const schema::TaskId& found,
-                                   CellDuty* cell) -> void {
+                                   CellService* cell) -> void {
         if (cell == nullptr) {
           answer(std::nullopt);
           return;
--- a/Source/Daemon/endpoint_caller.cc
+++ b/Source/Daemon/endpoint_caller.cc
@@ -9,8 +9,8 @@
 
 constexpr char kAttemptHeader[] = "rhubarbhaven-attempt-id";
 
-// A crossed answer: the endpoint echoes the id of another attempt. One that
-// echoes none is taken at its word, since it need not know the header.
+// True if the endpoint echoed the id of another attempt. An answer without the
+// header is accepted, since endpoints need not support it.
 auto IsMismatched(uint64_t attempt_id, const schema::HttpAnswer& http) -> bool {
   for (const auto& header : http.headers()) {
     if (header.name() == kAttemptHeader && !header.value().empty()) {
@@ -37,13 +37,13 @@
   attempt.set_name(kAttemptHeader);
   attempt.set_value(absl::StrCat(call.attempt_id));
   request.timeout = call.timeout;
-  // A kept connection may turn out dead only when the request has been sent,
-  // and one that may run once only cannot be tried again then: it goes on a
-  // connection of its own.
+  // That a kept-alive connection is closed may show only after the request was
+  // sent, and a non-repeatable request cannot be retried then. It is sent on a
+  // new connection.
   request.fresh_connection = !call.repeatable;
   const uint64_t attempt_id = call.attempt_id;
   const TimePoint begun = Clock::now();
-  const bool taken = http_.Start(
+  const bool accepted = http_.Start(
       std::move(request),
       [attempt_id, begun, on_outcome](const HttpClientAnswer& answer) -> void {
         const auto service_time =
@@ -51,7 +51,7 @@
                                                                   begun);
         on_outcome(OutcomeOf(attempt_id, answer, service_time));
       });
-  if (!taken) {
+  if (!accepted) {
     EndpointOutcome outcome;
     outcome.attempt_id = attempt_id;
     outcome.verdict = schema::NOT_RUN;
--- a/Source/Daemon/endpoint_caller.h
+++ b/Source/Daemon/endpoint_caller.h
@@ -9,15 +9,15 @@
 
 namespace rhubarbhaven {
 
-// Calls the endpoint beside the agent over HTTP, and says what each attempt
-// came to.
+// Calls the agent's endpoint over HTTP and reports the outcome of each attempt.
 class EndpointCaller {
  public:
   using OnOutcome = std::function<auto(EndpointOutcome)->void>;
 
   EndpointCaller(std::string base_url, uint32_t connections);
 
-  // `on_outcome` runs on the caller's thread.
+  // `on_outcome` runs on the thread of the HTTP client, or on the calling
+  // thread if the request could not be started.
   auto Start(const CallEndpoint& call, const OnOutcome& on_outcome) -> void;
 
  private:
@@ -25,7 +25,7 @@
   HttpCaller http_;
 };
 
-// What an answer of the endpoint means for the attempt.
+// Maps an answer of the endpoint to the outcome of the attempt.
 auto OutcomeOf(uint64_t attempt_id,
                const HttpClientAnswer& answer,
                std::chrono::microseconds service_time) -> EndpointOutcome;
--- a/Source/Daemon/entry_daemon.cc
+++ b/Source/Daemon/entry_daemon.cc
@@ -13,11 +13,11 @@
 namespace {
 
 constexpr std::chrono::milliseconds kLinkLinger{500};
-constexpr std::chrono::milliseconds kOnceStopLimit{1000};
-// A non-repeatable request whose intent cannot be appended within this time
-// is refused as not run, rather than kept waiting for the log.
-constexpr std::chrono::milliseconds kOnceGiveBack{1000};
-constexpr std::chrono::milliseconds kComeBackSoon{1000};
+constexpr std::chrono::milliseconds kIdempotencyStopTimeout{1000};
+// A non-repeatable request whose intent cannot be appended within this time is
+// rejected as not run instead of waiting longer for the log.
+constexpr std::chrono::milliseconds kIntentAppendTimeout{1000};
+constexpr std::chrono::milliseconds kRetryAfterRingFull{1000};
 constexpr unsigned kUnavailable = 503;
 
 auto OptionsOfRouter(const schema::DaemonSettings& settings,
@@ -31,10 +31,10 @@
   return options;
 }
 
-auto OptionsOfOnce(const schema::DaemonSettings& settings, uint64_t incarnation)
-    -> StreamDutyOptions {
+auto OptionsOfIdempotencyStream(const schema::DaemonSettings& settings,
+                                uint64_t incarnation) -> StreamServiceOptions {
   auto options = StreamOptionsOf(settings, incarnation, kOnceStream);
-  options.give_back_after = kOnceGiveBack;
+  options.give_back_after = kIntentAppendTimeout;
   return options;
 }
 
@@ -44,12 +44,14 @@
     : settings_(settings),
       incarnation_(RandomIncarnation()),
       log_(PartLogger("entry")),
-      link_(MakeLink()),
-      router_(OptionsOfRouter(settings, incarnation_), MakeRouter(), &metrics_),
-      control_(settings, incarnation_, MakeControl(), &metrics_),
-      once_stream_(OptionsOfOnce(settings, incarnation_),
-                   OnceHooks(),
-                   &metrics_),
+      link_(MakeLinkOptions()),
+      router_(OptionsOfRouter(settings, incarnation_),
+              MakeRouterHooks(),
+              &metrics_),
+      control_(settings, incarnation_, MakeControlHooks(), &metrics_),
+      idempotency_stream_(OptionsOfIdempotencyStream(settings, incarnation_),
+                          IdempotencyStreamHooks(),
+                          &metrics_),
       operator_api_(&control_, &router_) {}
 
 EntryDaemon::~EntryDaemon() = default;
@@ -66,7 +68,7 @@
     return status;
   }
   control_.Start();
-  once_stream_.Start();
+  idempotency_stream_.Start();
   log_->info("Entry started. id={} incarnation={} http={}:{} link={}",
              settings_.id(), incarnation_, settings_.entry().http_address(),
              http_->port(), settings_.entry().link_endpoint());
@@ -74,22 +76,22 @@
 }
 
 auto EntryDaemon::Stop() -> void {
-  log_->info("Planned stop begins. grace_ms={}",
+  log_->info("Planned stop started. grace_ms={}",
              settings_.entry().stop_grace_ms());
   stopping_ = true;
-  // The balancer needs time to see the failing health check; until then new
-  // requests still come and are served.
+  // The load balancer needs time to detect the failing health check. Until then
+  // new requests still arrive and are served.
   std::this_thread::sleep_for(
       std::chrono::milliseconds(settings_.entry().stop_grace_ms()));
   http_.reset();
-  once_stream_.Stop(kOnceStopLimit);
+  idempotency_stream_.Stop(kIdempotencyStopTimeout);
   control_.Stop();
   link_.Stop(kLinkLinger);
   router_.Stop();
   log_->info("Entry stopped. id={}", settings_.id());
 }
 
-auto EntryDaemon::MakeLink() -> LinkOptions {
+auto EntryDaemon::MakeLinkOptions() -> LinkOptions {
   LinkOptions options;
   options.id = settings_.id();
   options.incarnation = incarnation_;
@@ -112,19 +114,19 @@
   return options;
 }
 
-auto EntryDaemon::MakeRouter() -> RouterHooks {
+auto EntryDaemon::MakeRouterHooks() -> RouterHooks {
   RouterHooks hooks;
   hooks.send = [this](const std::string& agent,
                       schema::Envelope message) -> bool {
     return link_.Send(agent, std::move(message));
   };
-  hooks.append_once = [this](schema::LogEntry entry) -> bool {
-    return once_stream_.Append(std::move(entry));
+  hooks.append_idempotency_entry = [this](schema::LogEntry entry) -> bool {
+    return idempotency_stream_.Append(std::move(entry));
   };
   return hooks;
 }
 
-auto EntryDaemon::MakeControl() -> ControlHooks {
+auto EntryDaemon::MakeControlHooks() -> ControlHooks {
   ControlHooks hooks;
   hooks.send = [this](const std::string& peer,
                       schema::Envelope message) -> bool {
@@ -137,10 +139,10 @@
   return hooks;
 }
 
-auto EntryDaemon::OnceHooks() -> StreamHooks {
+auto EntryDaemon::IdempotencyStreamHooks() -> StreamHooks {
   StreamHooks hooks;
-  hooks.post = [this](const DutyThread::Job& job) -> void {
-    router_.PostOrWait(job);
+  hooks.post = [this](const EventLoopThread::Callback& callback) -> void {
+    router_.PostOrWait(callback);
   };
   hooks.on_record = [this](TimePoint now, uint64_t offset,
                            const schema::LogRecord& record) -> void {
@@ -228,7 +230,7 @@
   auto parsed = ParseCallerRequest(http, settings_.entry(), ticket);
   if (const auto* reason = std::get_if<schema::Reason>(&parsed)) {
     metrics_.AddReason("refused", *reason);
-    respond(RenderRefusal(*reason, std::chrono::milliseconds(0)));
+    respond(RenderRejection(*reason, std::chrono::milliseconds(0)));
     return;
   }
   auto request = std::get<CallerRequest>(std::move(parsed));
@@ -240,14 +242,14 @@
     header->set_value(request.request_id);
   }
   const std::string request_id = request.request_id;
-  const bool taken =
+  const bool accepted =
       router_.Submit(std::move(request),
                      [respond, request_id](const CallerReply& reply) -> void {
                        respond(RenderReply(reply, request_id));
                      });
-  if (!taken) {
+  if (!accepted) {
     metrics_.AddReason("refused", schema::RING_FULL);
-    respond(RenderRefusal(schema::RING_FULL, kComeBackSoon));
+    respond(RenderRejection(schema::RING_FULL, kRetryAfterRingFull));
   }
 }
 
--- a/Source/Daemon/entry_daemon.h
+++ b/Source/Daemon/entry_daemon.h
@@ -6,16 +6,16 @@
 #include <atomic>
 #include <memory>
 
-#include "Daemon/control_duty.h"
+#include "Daemon/control_thread.h"
 #include "Daemon/operator_api.h"
-#include "Daemon/router_duty.h"
-#include "Daemon/stream_duty.h"
+#include "Daemon/router_thread.h"
+#include "Daemon/stream_service.h"
 #include "Transport/transport.h"
 
 namespace rhubarbhaven {
 
-// An entry: takes callers' requests over HTTP, routes them to agents, follows
-// the configuration, and may own cells.
+// An entry: accepts callers' requests over HTTP, routes them to agents, follows
+// the configuration stream, and may own cells.
 class EntryDaemon {
  public:
   explicit EntryDaemon(const schema::DaemonSettings& settings);
@@ -24,15 +24,15 @@
   ~EntryDaemon();
 
   auto Start() -> absl::Status;
-  // A planned stop: fails the health check, goes on serving for the grace
-  // time, finishes what is in progress.
+  // A planned stop: fails the readiness check, continues to serve for the grace
+  // period, and finishes requests in progress.
   auto Stop() -> void;
 
  private:
-  auto MakeLink() -> LinkOptions;
-  auto MakeRouter() -> RouterHooks;
-  auto MakeControl() -> ControlHooks;
-  auto OnceHooks() -> StreamHooks;
+  auto MakeLinkOptions() -> LinkOptions;
+  auto MakeRouterHooks() -> RouterHooks;
+  auto MakeControlHooks() -> ControlHooks;
+  auto IdempotencyStreamHooks() -> StreamHooks;
   auto HttpOptions() -> HttpServerOptions;
   auto OnLinkMessage(const std::string& peer, schema::Envelope message) -> void;
   auto HandleHttp(const HttpServerRequest& request,
@@ -47,11 +47,12 @@
   Metrics metrics_;
   std::atomic<uint64_t> next_ticket_ = 1;
   std::atomic<bool> stopping_ = false;
-  // Ends after everything that sends through it.
+  // Declared before the members that send through it, so that it is destroyed
+  // after them.
   Link link_;
-  RouterDuty router_;
-  ControlDuty control_;
-  StreamDuty once_stream_;
+  RouterThread router_;
+  ControlThread control_;
+  StreamService idempotency_stream_;
   OperatorApi operator_api_;
   std::unique_ptr<HttpServer> http_;
 };
--- a/Source/Daemon/health_probe.cc
+++ b/Source/Daemon/health_probe.cc
@@ -7,8 +7,9 @@
 
 constexpr std::chrono::milliseconds kInterval{500};
 constexpr std::chrono::milliseconds kTimeout{1000};
-// One lost probe says little; an endpoint that is gone fails every one.
-constexpr int kFailuresToGiveUp = 2;
+// A single probe may fail for a transient reason. An endpoint that is down
+// fails all of them.
+constexpr int kFailuresUntilUnhealthy = 2;
 constexpr uint32_t kFirstServerError = 500;
 
 }  // namespace
@@ -18,10 +19,10 @@
     : url_(std::move(url)),
       on_change_(std::move(on_change)),
       thread_({.on_tick = [this](TimePoint now) -> void { Probe(now); },
-               .next_wake = [this]() -> TimePoint { return next_; }}) {}
+               .next_wake = [this]() -> TimePoint { return next_probe_; }}) {}
 
 auto HealthProbe::Probe(TimePoint now) -> void {
-  next_ = now + kInterval;
+  next_probe_ = now + kInterval;
   HttpClientRequest request;
   request.url = url_;
   request.timeout = kTimeout;
@@ -29,7 +30,7 @@
   if (answer.complete && answer.http.status() < kFirstServerError) {
     failures_ = 0;
     Report(true);
-  } else if (++failures_ >= kFailuresToGiveUp) {
+  } else if (++failures_ >= kFailuresUntilUnhealthy) {
     Report(false);
   }
 }
--- a/Source/Daemon/health_probe.h
+++ b/Source/Daemon/health_probe.h
@@ -4,15 +4,16 @@
 #include <functional>
 #include <string>
 
-#include "Daemon/duty_thread.h"
+#include "Daemon/event_loop_thread.h"
 #include "Transport/transport.h"
 
 namespace rhubarbhaven {
 
-// The thread that asks the endpoint beside an agent whether it serves.
+// The thread that probes the health of an agent's endpoint.
 class HealthProbe {
  public:
-  // `on_change` runs on the probe's thread, first with the first finding.
+  // `on_change` runs on the probe's thread, with the first result and whenever
+  // the result changes.
   HealthProbe(std::string url,
               std::function<auto(bool healthy)->void> on_change);
 
@@ -29,8 +30,8 @@
   int failures_ = 0;
   bool reported_ = false;
   bool healthy_ = false;
-  TimePoint next_;
-  DutyThread thread_;
+  TimePoint next_probe_;
+  EventLoopThread thread_;
 };
 
 }  // namespace rhubarbhaven
--- a/Source/Daemon/job_agent.cc
+++ b/Source/Daemon/job_agent.cc
@@ -10,7 +10,7 @@
 namespace rhubarbhaven {
 namespace {
 
-constexpr std::chrono::milliseconds kLookInterval{250};
+constexpr std::chrono::milliseconds kTickInterval{250};
 
 auto AgentOptions(const jobs::AgentRegistrationOptions& options)
     -> jobs::TaskAgentOptions {
@@ -29,21 +29,21 @@
       log_("agent"),
       agent_(AgentOptions(options), MakeAgentHooks()),
       registration_(std::move(options)),
-      duty_({.on_tick = [this](TimePoint now) -> void { Tick(now); },
-             .next_wake = [this]() -> TimePoint { return NextWake(); }}) {}
+      thread_({.on_tick = [this](TimePoint now) -> void { Tick(now); },
+               .next_wake = [this]() -> TimePoint { return NextWake(); }}) {}
 
 auto JobAgent::Start() -> void {
-  duty_.Start();
+  thread_.Start();
 }
 
 auto JobAgent::Stop() -> void {
-  duty_.Stop();
+  thread_.Stop();
 }
 
 auto JobAgent::OnOrders(const std::string& peer, jobs::AgentOrders orders)
     -> void {
-  duty_.PostOrWait([this, peer,
-                    orders = std::move(orders)](TimePoint now) -> void {
+  thread_.PostOrWait([this, peer,
+                      orders = std::move(orders)](TimePoint now) -> void {
     const uint64_t fence = agent_.fence();
     agent_.OnOrders(now, peer, orders);
     if (agent_.fence() != fence) {
@@ -53,17 +53,17 @@
   });
 }
 
-auto JobAgent::OnHeartbeat(jobs::WorkerHeartbeat heartbeat,
-                           const std::function<auto(bool taken)->void>& respond)
-    -> void {
-  const bool posted = duty_.Post(
+auto JobAgent::OnHeartbeat(
+    jobs::WorkerHeartbeat heartbeat,
+    const std::function<auto(bool accepted)->void>& respond) -> void {
+  const bool posted = thread_.Post(
       [this, heartbeat = std::move(heartbeat), respond](TimePoint now) -> void {
         const bool was_draining = agent_.draining();
-        const bool taken = agent_.OnHeartbeat(now, heartbeat);
+        const bool accepted = agent_.OnHeartbeat(now, heartbeat);
         if (agent_.draining() && !was_draining) {
           log_.Write("worker_drains", {{"worker", heartbeat.worker_id}});
         }
-        respond(taken);
+        respond(accepted);
       });
   if (!posted) {
     respond(false);
@@ -71,10 +71,10 @@
 }
 
 auto JobAgent::OnLeave(const std::string& worker_id,
-                       const std::function<auto(bool taken)->void>& respond)
+                       const std::function<auto(bool accepted)->void>& respond)
     -> void {
   const bool posted =
-      duty_.Post([this, worker_id, respond](TimePoint now) -> void {
+      thread_.Post([this, worker_id, respond](TimePoint now) -> void {
         log_.Write("worker_leaves", {{"worker", worker_id}});
         agent_.OnLeave(now, worker_id);
         respond(true);
@@ -86,13 +86,13 @@
 }
 
 auto JobAgent::Tick(TimePoint now) -> void {
-  looked_at_ = now;
+  last_tick_ = now;
   agent_.Tick(now);
   Register(now);
 }
 
 auto JobAgent::NextWake() const -> TimePoint {
-  return std::min({looked_at_ + kLookInterval, agent_.next_wake(),
+  return std::min({last_tick_ + kTickInterval, agent_.next_wake(),
                    registration_.next_wake()});
 }
 
@@ -106,20 +106,20 @@
   if (!call) {
     return;
   }
-  OnThread(hooks_.log, &duty_)
+  OnThread(hooks_.log, &thread_)
       .append(*call,
               [this](TimePoint then, const jobs::AppendResult& result) -> void {
                 registration_.OnResult(then, result);
               });
 }
 
-// The same calls, whose answers come on this duty's thread.
+// Wraps `port` so that its callbacks run on this agent's thread.
 auto JobAgent::WorkerOnThread(const jobs::WorkerPort& port)
     -> jobs::WorkerPort {
   const auto call_back =
       [this](const jobs::WorkerPort::OnCall& done) -> jobs::WorkerPort::OnCall {
     return [this, done](TimePoint, jobs::WorkerCallResult result) -> void {
-      duty_.PostOrWait(
+      thread_.PostOrWait(
           [done, result](TimePoint now) -> void { done(now, result); });
     };
   };
@@ -144,8 +144,10 @@
                        const jobs::WorkerPort::OnListing& done) -> void {
     port.list(
         call, [this, done](TimePoint, jobs::WorkerListing listing) -> void {
-          duty_.PostOrWait([done, listing = std::move(listing)](
-                               TimePoint now) -> void { done(now, listing); });
+          thread_.PostOrWait(
+              [done, listing = std::move(listing)](TimePoint now) -> void {
+                done(now, listing);
+              });
         });
   };
   return on_thread;
@@ -162,12 +164,12 @@
       metrics_->Add("rhubarbhaven_reports_dropped_total");
     }
   };
-  hooks.log = [this](const std::string& what, const jobs::TaskName& task,
-                     uint64_t run, const std::string& why) -> void {
-    metrics_->Add(absl::StrCat("rhubarbhaven_worker_", what, "_total"));
-    log_.Write(what, {{"task", DescribeTask(task)},
-                      {"run", absl::StrCat(run)},
-                      {"why", why}});
+  hooks.log = [this](const std::string& event, const jobs::TaskName& task,
+                     uint64_t run, const std::string& reason) -> void {
+    metrics_->Add(absl::StrCat("rhubarbhaven_worker_", event, "_total"));
+    log_.Write(event, {{"task", DescribeTask(task)},
+                       {"run", absl::StrCat(run)},
+                       {"why", reason}});
   };
   return hooks;
 }
--- a/Source/Daemon/job_agent.h
+++ b/Source/Daemon/job_agent.h
@@ -6,21 +6,21 @@
 #include <memory>
 #include <string>
 
-#include "Daemon/duty_thread.h"
+#include "Daemon/event_loop_thread.h"
 #include "Jobs/jobs.h"
 
 namespace rhubarbhaven {
 
 struct JobAgentHooks {
   jobs::KeyedLogPort log;
-  // Over the link; false if it was not sent.
+  // Sends over the link. Returns false if the message was not sent.
   std::function<auto(const std::string& peer, schema::Envelope)->bool> send;
-  // Calls to the worker; they may answer on any thread.
+  // Calls to the worker. Their callbacks may run on any thread.
   jobs::WorkerPort worker;
 };
 
-// The duty of an agent on the platform: one thread that owns a `TaskAgent`,
-// and the agent's registration in the log.
+// An agent on the platform: one thread that owns a `TaskAgent` and the agent's
+// registration in the log.
 class JobAgent {
  public:
   JobAgent(jobs::AgentRegistrationOptions options,
@@ -32,12 +32,12 @@
   auto Start() -> void;
   auto Stop() -> void;
   auto OnOrders(const std::string& peer, jobs::AgentOrders orders) -> void;
-  // `respond` tells whether the heartbeat is taken.
+  // Calls `respond` with whether the heartbeat was accepted.
   auto OnHeartbeat(jobs::WorkerHeartbeat heartbeat,
-                   const std::function<auto(bool taken)->void>& respond)
+                   const std::function<auto(bool accepted)->void>& respond)
       -> void;
   auto OnLeave(const std::string& worker_id,
-               const std::function<auto(bool taken)->void>& respond) -> void;
+               const std::function<auto(bool accepted)->void>& respond) -> void;
 
  private:
   auto Tick(TimePoint now) -> void;
@@ -51,8 +51,8 @@
   EventLog log_;
   jobs::TaskAgent agent_;
   jobs::AgentRegistration registration_;
-  TimePoint looked_at_;
-  DutyThread duty_;
+  TimePoint last_tick_;
+  EventLoopThread thread_;
 };
 
 }  // namespace rhubarbhaven
--- a/Source/Daemon/job_service.cc
+++ b/Source/Daemon/job_service.cc
@@ -4,34 +4,34 @@
 
 namespace rhubarbhaven {
 
-auto OnThread(const jobs::KeyedLogPort& port, DutyThread* duty)
+auto OnThread(const jobs::KeyedLogPort& port, EventLoopThread* thread)
     -> jobs::KeyedLogPort {
   jobs::KeyedLogPort on_thread;
-  on_thread.append = [port, duty](
+  on_thread.append = [port, thread](
                          const jobs::AppendCall& call,
                          const jobs::KeyedLogPort::OnAppend& done) -> void {
     port.append(
         call,
-        [duty, done](TimePoint, const jobs::AppendResult& result) -> void {
-          duty->PostOrWait(
+        [thread, done](TimePoint, const jobs::AppendResult& result) -> void {
+          thread->PostOrWait(
               [done, result](TimePoint now) -> void { done(now, result); });
         });
   };
-  on_thread.read = [port, duty](
+  on_thread.read = [port, thread](
                        const jobs::ReadCall& call,
                        const jobs::KeyedLogPort::OnRead& done) -> void {
-    port.read(call, [duty, done](TimePoint, jobs::ReadResult result) -> void {
-      duty->PostOrWait([done, result = std::move(result)](
-                           TimePoint now) -> void { done(now, result); });
+    port.read(call, [thread, done](TimePoint, jobs::ReadResult result) -> void {
+      thread->PostOrWait([done, result = std::move(result)](
+                             TimePoint now) -> void { done(now, result); });
     });
   };
-  on_thread.newest = [port, duty](
+  on_thread.newest = [port, thread](
                          const jobs::NewestCall& call,
                          const jobs::KeyedLogPort::OnNewest& done) -> void {
     port.newest(
-        call, [duty, done](TimePoint, jobs::NewestResult result) -> void {
-          duty->PostOrWait([done, result = std::move(result)](
-                               TimePoint now) -> void { done(now, result); });
+        call, [thread, done](TimePoint, jobs::NewestResult result) -> void {
+          thread->PostOrWait([done, result = std::move(result)](
+                                 TimePoint now) -> void { done(now, result); });
         });
   };
   return on_thread;
@@ -40,41 +40,41 @@
 JobService::JobService(const jobs::EntryOptions& options,
                        jobs::EntryHooks hooks,
                        Metrics* metrics)
-    : duty_({.on_tick = [this](TimePoint now) -> void { Tick(now); },
-             .next_wake = [this]() -> TimePoint {
-               return decisions_.next_wake();
-             }}),
+    : thread_({.on_tick = [this](TimePoint now) -> void { Tick(now); },
+               .next_wake = [this]() -> TimePoint {
+                 return decisions_.next_wake();
+               }}),
       decisions_(options, WithLogOnThread(std::move(hooks)), metrics) {}
 
 auto JobService::Start() -> void {
-  duty_.Start();
-  duty_.PostOrWait([this](TimePoint) -> void { decisions_.Start(); });
+  thread_.Start();
+  thread_.PostOrWait([this](TimePoint) -> void { decisions_.Start(); });
 }
 
 auto JobService::Call(jobs::JobCall call, jobs::JobResponder respond) -> bool {
-  return duty_.Post([this, call = std::move(call),
-                     respond = std::move(respond)](TimePoint now) -> void {
+  return thread_.Post([this, call = std::move(call),
+                       respond = std::move(respond)](TimePoint now) -> void {
     decisions_.Call(now, call, respond);
   });
 }
 
 auto JobService::OnReport(const std::string& agent, jobs::AgentReport report)
     -> void {
-  duty_.PostOrWait(
+  thread_.PostOrWait(
       [this, agent, report = std::move(report)](TimePoint now) mutable -> void {
         decisions_.OnReport(now, agent, std::move(report));
       });
 }
 
 auto JobService::Release() -> void {
-  duty_.PostOrWait([this](TimePoint now) -> void {
+  thread_.PostOrWait([this](TimePoint now) -> void {
     decisions_.Release(now);
     ready_ = false;
   });
 }
 
 auto JobService::Stop() -> void {
-  duty_.Stop();
+  thread_.Stop();
 }
 
 auto JobService::Tick(TimePoint now) -> void {
@@ -83,13 +83,13 @@
 }
 
 auto JobService::WithLogOnThread(jobs::EntryHooks hooks) -> jobs::EntryHooks {
-  hooks.log = OnThread(hooks.log, &duty_);
+  hooks.log = OnThread(hooks.log, &thread_);
   hooks.ask_advice = [this, ask = hooks.ask_advice](
                          const jobs::AdviceCall& call,
                          const auto& done) -> void {
     ask(call, [this, done](TimePoint, jobs::AdviceResult result) -> void {
-      duty_.PostOrWait([done, result = std::move(result)](
-                           TimePoint now) -> void { done(now, result); });
+      thread_.PostOrWait([done, result = std::move(result)](
+                             TimePoint now) -> void { done(now, result); });
     });
   };
   return hooks;
--- a/Source/Daemon/job_service.h
+++ b/Source/Daemon/job_service.h
@@ -4,19 +4,19 @@
 #include <atomic>
 #include <string>
 
-#include "Daemon/duty_thread.h"
+#include "Daemon/event_loop_thread.h"
 #include "Jobs/jobs.h"
 
 namespace rhubarbhaven {
 
-// The calls of `port`, answered on the duty's thread.
-auto OnThread(const jobs::KeyedLogPort& port, DutyThread* duty)
+// Wraps `port` so that its callbacks run on `thread`.
+auto OnThread(const jobs::KeyedLogPort& port, EventLoopThread* thread)
     -> jobs::KeyedLogPort;
 
-// The duty of an entry on the platform: one thread that owns the decisions.
+// An entry on the platform: one thread that owns its `EntryDecisions`.
 class JobService {
  public:
-  // The log of `hooks` may answer on any thread.
+  // The callbacks of the log in `hooks` may run on any thread.
   JobService(const jobs::EntryOptions& options,
              jobs::EntryHooks hooks,
              Metrics* metrics);
@@ -24,10 +24,11 @@
   auto operator=(const JobService&) -> JobService& = delete;
 
   auto Start() -> void;
-  // From any thread. Answers once; false if the ring is full.
+  // May be called on any thread. Calls `respond` once. Returns false, and does
+  // not call it, if the ring is full.
   auto Call(jobs::JobCall call, jobs::JobResponder respond) -> bool;
   auto OnReport(const std::string& agent, jobs::AgentReport report) -> void;
-  // Gives the ownership up, so that another entry takes over at once.
+  // Releases the ownership, so that another entry can take over immediately.
   auto Release() -> void;
   auto Stop() -> void;
   auto ready() const -> bool { return ready_; }
@@ -37,7 +38,7 @@
   auto WithLogOnThread(jobs::EntryHooks hooks) -> jobs::EntryHooks;
 
   std::atomic<bool> ready_ = false;
-  DutyThread duty_;
+  EventLoopThread thread_;
   jobs::EntryDecisions decisions_;
 };
 
--- a/Source/Daemon/metrics_page.h
+++ b/Source/Daemon/metrics_page.h
@@ -6,7 +6,7 @@
 
 namespace rhubarbhaven {
 
-// The metrics page of a daemon, with the traffic of its link.
+// Renders the metrics of a daemon, including the traffic of its link in bytes.
 auto AnswerMetrics(Metrics& metrics, const Link& link) -> HttpServerAnswer;
 
 }  // namespace rhubarbhaven
--- a/Source/Daemon/operator_api.cc
+++ b/Source/Daemon/operator_api.cc
@@ -42,7 +42,7 @@
   return task;
 }
 
-// Without a message the entry does not own the task's cell.
+// An empty `message` means that the entry does not own the task's cell.
 template <typename Message>
 auto OrNotFound(const std::optional<Message>& message) -> HttpServerAnswer {
   return message ? Json(*message) : Json(Message(), kNotFound);
@@ -50,37 +50,39 @@
 
 }  // namespace
 
-OperatorApi::OperatorApi(ControlDuty* control, RouterDuty* router)
+OperatorApi::OperatorApi(ControlThread* control, RouterThread* router)
     : control_(control), router_(router) {}
 
 auto OperatorApi::Handle(const HttpServerRequest& request,
                          const HttpResponder& respond) -> void {
-  const std::string what = request.path.substr(sizeof(kOperatorPath) - 1);
-  const bool reads = request.method == "GET";
-  if (what == "status" && reads) {
+  const std::string operation = request.path.substr(sizeof(kOperatorPath) - 1);
+  const bool is_get = request.method == "GET";
+  if (operation == "status" && is_get) {
     AnswerStatus(respond);
-  } else if (what == "tasks" && reads) {
+  } else if (operation == "tasks" && is_get) {
     AnswerTasks(respond);
-  } else if ((what == "explain" && reads) ||
-             (what == "evict" && request.method == "POST")) {
-    HandleTask(what, request, respond);
+  } else if ((operation == "explain" && is_get) ||
+             (operation == "evict" && request.method == "POST")) {
+    HandleTask(operation, request, respond);
   } else {
-    respond({kNotFound, {}, "No such operator call.\n"});
+    respond({kNotFound, {}, "Unknown operator call.\n"});
   }
 }
 
-auto OperatorApi::HandleTask(const std::string& what,
+auto OperatorApi::HandleTask(const std::string& operation,
                              const HttpServerRequest& request,
                              const HttpResponder& respond) -> void {
   const auto task = TaskOf(request);
   if (!task) {
-    respond({kBadRequest, {}, "partner, job and index are needed.\n"});
+    respond({kBadRequest,
+             {},
+             "The parameters partner, job and index are required.\n"});
     return;
   }
   const auto answer = [respond](const auto& message) -> void {
     respond(OrNotFound(message));
   };
-  if (what == "explain") {
+  if (operation == "explain") {
     control_->Explain(*task, answer);
   } else {
     control_->Evict(*task, answer);
@@ -92,9 +94,9 @@
       [this, respond](const schema::OperatorStatus& status) -> void {
         router_->Endpoints(
             [status, respond](const std::vector<EndpointView>& views) -> void {
-              schema::OperatorStatus whole = status;
+              schema::OperatorStatus combined = status;
               for (const auto& view : views) {
-                auto* endpoint = whole.add_endpoints();
+                auto* endpoint = combined.add_endpoints();
                 endpoint->set_agent(view.agent);
                 endpoint->set_partner(view.partner);
                 endpoint->set_service(view.service);
@@ -104,7 +106,7 @@
                 endpoint->set_service_time_us(
                     static_cast<uint64_t>(view.service_time.count()));
               }
-              respond(Json(whole));
+              respond(Json(combined));
             });
       });
 }
--- a/Source/Daemon/operator_api.h
+++ b/Source/Daemon/operator_api.h
@@ -3,32 +3,32 @@
 
 #include <string>
 
-#include "Daemon/control_duty.h"
-#include "Daemon/router_duty.h"
+#include "Daemon/control_thread.h"
+#include "Daemon/router_thread.h"
 #include "Transport/transport.h"
 
 namespace rhubarbhaven {
 
 inline constexpr char kOperatorPath[] = "/operator/v1/";
 
-// The operators' side of an entry, in JSON over HTTP; the messages are in
+// The operators' interface of an entry: JSON over HTTP, with the messages of
 // operator.proto.
 class OperatorApi {
  public:
-  OperatorApi(ControlDuty* control, RouterDuty* router);
+  OperatorApi(ControlThread* control, RouterThread* router);
 
   auto Handle(const HttpServerRequest& request, const HttpResponder& respond)
       -> void;
 
  private:
-  auto HandleTask(const std::string& what,
+  auto HandleTask(const std::string& operation,
                   const HttpServerRequest& request,
                   const HttpResponder& respond) -> void;
   auto AnswerStatus(const HttpResponder& respond) -> void;
   auto AnswerTasks(const HttpResponder& respond) -> void;
 
-  ControlDuty* control_;
-  RouterDuty* router_;
+  ControlThread* control_;
+  RouterThread* router_;
 };
 
 }  // namespace rhubarbhaven
--- a/Source/Daemon/run_daemon.cc
+++ b/Source/Daemon/run_daemon.cc
@@ -12,8 +12,8 @@
 namespace rhubarbhaven {
 namespace {
 
-// How often the settings file is looked at for changes without a signal.
-constexpr std::chrono::seconds kLookAtSettings{5};
+// Interval at which the settings file is checked for changes without a signal.
+constexpr std::chrono::seconds kSettingsPollInterval{5};
 
 auto StopSignals() -> sigset_t {
   sigset_t signals;
@@ -24,11 +24,11 @@
   return signals;
 }
 
-// The roles on a platform without interfaces of its own.
+// A role without interfaces of a platform.
 template <typename Daemon>
-class PlainRole : public DaemonRole {
+class StandaloneRole : public DaemonRole {
  public:
-  explicit PlainRole(const schema::DaemonSettings& settings)
+  explicit StandaloneRole(const schema::DaemonSettings& settings)
       : daemon_(settings) {}
   auto Start() -> absl::Status override { return daemon_.Start(); }
   auto Stop() -> void override { daemon_.Stop(); }
@@ -44,9 +44,9 @@
     return make_platform_role(settings);
   }
   if (settings.role() == "entry") {
-    return std::make_unique<PlainRole<EntryDaemon>>(settings);
+    return std::make_unique<StandaloneRole<EntryDaemon>>(settings);
   }
-  return std::make_unique<PlainRole<AgentDaemon>>(settings);
+  return std::make_unique<StandaloneRole<AgentDaemon>>(settings);
 }
 
 auto ReadFile(const std::string& path) -> std::string {
@@ -55,8 +55,8 @@
           std::istreambuf_iterator<char>()};
 }
 
-// Takes over what can change while the process runs. Wrong settings leave the
-// old ones in force.
+// Applies the settings that can change while the process runs. If the new
+// settings are invalid, the old ones remain in effect.
 auto Reload(const std::string& path, EventLog& log) -> void {
   const auto settings = LoadDaemonSettings(path);
   if (!settings.ok()) {
@@ -68,11 +68,11 @@
   log.Write("reload", {{"path", path}});
 }
 
-// Waits for the signal to stop; reloads the settings meanwhile.
+// Waits for SIGTERM or SIGINT, and reloads the settings in the meantime.
 auto WaitForStop(const sigset_t& signals, const std::string& path) -> void {
   EventLog log("daemon");
   std::string text = ReadFile(path);
-  const timespec interval{kLookAtSettings.count(), 0};
+  const timespec interval{kSettingsPollInterval.count(), 0};
   while (true) {
     const int signal = sigtimedwait(&signals, nullptr, &interval);
     if (signal == SIGTERM || signal == SIGINT) {
@@ -86,12 +86,13 @@
   }
 }
 
-// Runs one role: start, wait for a signal, planned stop.
+// Runs one role from its start to its planned stop.
 auto RunRole(const schema::DaemonSettings& settings,
              const std::string& path,
              const MakePlatformRole& make_platform_role) -> DaemonExit {
   const sigset_t signals = StopSignals();
-  // Blocked before any thread starts, so that only `sigtimedwait` takes them.
+  // Blocked before any thread starts, so that only `sigtimedwait` receives
+  // them.
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
   const auto role = MakeRole(settings, make_platform_role);
@@ -117,7 +118,7 @@
   }
   if (check_only) {
     std::cout << settings_path << ": settings of " << settings->role() << " "
-              << settings->id() << " are right\n";
+              << settings->id() << " are valid\n";
     return DaemonExit::kStopped;
   }
   ConfigureLogging(settings->logging(), settings->id());
--- a/Source/Daemon/run_daemon.h
+++ b/Source/Daemon/run_daemon.h
@@ -14,13 +14,14 @@
 // Exit codes of the daemon.
 enum class DaemonExit {
   kStopped = 0,
-  // Something failed while it ran.
+  // The daemon failed while it ran.
   kFailed = 1,
-  // The settings are wrong, or an address cannot be listened on.
+  // The settings are invalid, or the daemon cannot listen on an address.
   kSettings = 2
 };
 
-// What a daemon process does between its start and its planned stop.
+// The role of a daemon process, such as entry or agent, with its start and its
+// planned stop.
 class DaemonRole {
  public:
   DaemonRole() = default;
@@ -31,14 +32,14 @@
   virtual auto Stop() -> void = 0;
 };
 
-// Makes the role of a process whose settings have the section `platform`.
+// Creates the role of a process whose settings have the section `platform`.
 using MakePlatformRole = std::function<
     auto(const schema::DaemonSettings&)->std::unique_ptr<DaemonRole>>;
 
-// Runs the daemon with a settings file until SIGTERM or SIGINT, then stops
-// as planned. With `check_only`, says whether the settings are right. SIGHUP,
-// and a change of the file without it, reloads what can change while the
-// process runs: the level and form of its logs.
+// Runs the daemon with a settings file until SIGTERM or SIGINT, followed by a
+// planned stop. With `check_only`, only validates the settings. SIGHUP or a
+// change of the file reloads the settings that can change while the process
+// runs: the level and format of its logs.
 auto RunDaemon(const std::string& settings_path,
                bool check_only,
                const MakePlatformRole& make_platform_role) -> DaemonExit;
--- a/Source/Daemon/stream_duty.cc
+++ b/Source/Daemon/stream_service.cc
@@ -1,14 +1,14 @@
-#include "Daemon/stream_duty.h"
+#include "Daemon/stream_service.h"
 
 #include <utility>
 
 namespace rhubarbhaven {
 namespace {
 
-// Small enough for one record, with room for its framing.
+// Fits into one record, with room for its framing.
 constexpr std::size_t kSnapshotChunkBytes = 256 << 10;
 
-auto PolicyOf(const StreamDutyOptions& options) -> SnapshotPolicyOptions {
+auto PolicyOf(const StreamServiceOptions& options) -> SnapshotPolicyOptions {
   SnapshotPolicyOptions policy = options.snapshot;
   policy.writer = options.writer;
   return policy;
@@ -18,9 +18,9 @@
 
 auto StreamOptionsOf(const schema::DaemonSettings& settings,
                      uint64_t incarnation,
-                     const std::string& stream) -> StreamDutyOptions {
+                     const std::string& stream) -> StreamServiceOptions {
   const auto& entry = settings.entry();
-  StreamDutyOptions options;
+  StreamServiceOptions options;
   options.log_url = settings.log_url();
   options.stream = stream;
   options.writer = settings.id();
@@ -33,9 +33,9 @@
   return options;
 }
 
-StreamDuty::StreamDuty(StreamDutyOptions options,
-                       StreamHooks hooks,
-                       Metrics* metrics)
+StreamService::StreamService(StreamServiceOptions options,
+                             StreamHooks hooks,
+                             Metrics* metrics)
     : options_(std::move(options)),
       hooks_(std::move(hooks)),
       metrics_(metrics),
@@ -43,23 +43,23 @@
       writer_(WriterHooks()),
       follower_(FollowerHooks()) {}
 
-auto StreamDuty::Start() -> void {
+auto StreamService::Start() -> void {
   writer_.Start();
   follower_.Start();
 }
 
-auto StreamDuty::Stop(std::chrono::milliseconds limit) -> void {
+auto StreamService::Stop(std::chrono::milliseconds limit) -> void {
   writer_.Stop(limit);
   follower_.Stop();
 }
 
-auto StreamDuty::Append(schema::LogEntry entry) -> bool {
+auto StreamService::Append(schema::LogEntry entry) -> bool {
   metrics_->Add("rhubarbhaven_log_entries_total{stream=\"" + options_.stream +
                 "\"}");
   return writer_.Append(std::move(entry));
 }
 
-auto StreamDuty::FollowerHooks() -> FollowerOptions {
+auto StreamService::FollowerHooks() -> FollowerOptions {
   FollowerOptions follower;
   follower.log_url = options_.log_url;
   follower.stream = options_.stream;
@@ -73,10 +73,10 @@
                               const schema::LogRecord& record) -> void {
     OnRecord(offset, record);
   };
-  follower.on_caught_up = [this](TimePoint asked) -> void {
-    writer_.OnCaughtUp(asked);
-    hooks_.post([this, asked](TimePoint now) -> void {
-      hooks_.on_caught_up(now, asked);
+  follower.on_caught_up = [this](TimePoint requested_at) -> void {
+    writer_.OnCaughtUp(requested_at);
+    hooks_.post([this, requested_at](TimePoint now) -> void {
+      hooks_.on_caught_up(now, requested_at);
     });
     SetReachable(true);
   };
@@ -93,7 +93,7 @@
   return follower;
 }
 
-auto StreamDuty::WriterHooks() -> WriterOptions {
+auto StreamService::WriterHooks() -> WriterOptions {
   WriterOptions writer;
   writer.log_url = options_.log_url;
   writer.stream = options_.stream;
@@ -109,7 +109,7 @@
   return writer;
 }
 
-auto StreamDuty::OnRecord(uint64_t offset, const schema::LogRecord& record)
+auto StreamService::OnRecord(uint64_t offset, const schema::LogRecord& record)
     -> void {
   writer_.OnRead(record);
   hooks_.post([this, offset, record](TimePoint now) -> void {
@@ -118,7 +118,7 @@
   });
 }
 
-auto StreamDuty::OnExtent(TimePoint now, uint64_t first_kept, uint64_t next)
+auto StreamService::OnExtent(TimePoint now, uint64_t first_kept, uint64_t next)
     -> void {
   policy_.OnExtent(now, first_kept, next);
   if (hooks_.export_state && policy_.Due(now)) {
@@ -126,11 +126,11 @@
   }
 }
 
-// The log keeps records for a limited time. Without a snapshot a process that
-// starts later would find a gap and no state; see docs/design/journal.md.
-auto StreamDuty::WriteSnapshot(TimePoint now) -> void {
+// The log retains records for a limited time. Without a snapshot, a process
+// that starts later would find a gap and no state. See docs/design/journal.md.
+auto StreamService::WriteSnapshot(TimePoint now) -> void {
   const WholeSnapshot whole = hooks_.export_state();
-  // A process that is itself in a gap has nothing newer to offer.
+  // A process whose own state ends at a gap has nothing newer to write.
   if (!policy_.Helps(whole.covers)) {
     return;
   }
@@ -146,7 +146,7 @@
                 options_.stream + "\"}");
 }
 
-auto StreamDuty::SetReachable(bool reachable) -> void {
+auto StreamService::SetReachable(bool reachable) -> void {
   metrics_->SetGauge(
       "rhubarbhaven_log_reachable{stream=\"" + options_.stream + "\"}",
       reachable ? 1 : 0);
--- a/Source/Daemon/stream_duty.h
+++ b/Source/Daemon/stream_service.h
@@ -1,5 +1,5 @@
-#ifndef RHUBARBHAVEN_DAEMON_STREAM_DUTY_H_
-#define RHUBARBHAVEN_DAEMON_STREAM_DUTY_H_
+#ifndef RHUBARBHAVEN_DAEMON_STREAM_SERVICE_H_
+#define RHUBARBHAVEN_DAEMON_STREAM_SERVICE_H_
 
 #include <functional>
 #include <string>
@@ -8,57 +8,59 @@
 
 namespace rhubarbhaven {
 
-struct StreamDutyOptions {
+struct StreamServiceOptions {
   std::string log_url;
   std::string stream;
   std::string writer;
   uint64_t incarnation = 0;
   std::chrono::milliseconds append_interval{100};
-  // When snapshots are written; the writer is filled in.
+  // When snapshots are written. StreamService sets its `writer`.
   SnapshotPolicyOptions snapshot = {};
-  // How long one read waits for a record.
+  // Longest time that one read waits for a record.
   std::chrono::milliseconds read_wait{1000};
   // See WriterOptions::give_back_after.
   std::chrono::milliseconds give_back_after{0};
 };
 
-// The options that an entry's settings give for any of its streams.
+// The options of one of an entry's streams, from its settings.
 auto StreamOptionsOf(const schema::DaemonSettings& settings,
                      uint64_t incarnation,
-                     const std::string& stream) -> StreamDutyOptions;
+                     const std::string& stream) -> StreamServiceOptions;
 
-// The state's side of a stream. All but `post` run on the thread to which the
-// state belongs.
+// Functions of the state that is folded from a stream. All except `post` are
+// called on the thread that owns the state.
 struct StreamHooks {
-  // Runs a job on that thread; waits for room.
+  // Runs a callback on that thread. Blocks until its ring has room.
   std::function<auto(std::function<auto(TimePoint)->void>)->void> post;
   std::function<
       auto(TimePoint, uint64_t offset, const schema::LogRecord&)->void>
       on_record;
-  // Takes a snapshot's serialised state if it covers more.
+  // Adopts a snapshot's serialised state if it covers more records.
   std::function<auto(TimePoint, const std::string& state)->void> on_snapshot;
-  std::function<auto(TimePoint, TimePoint asked)->void> on_caught_up;
+  std::function<auto(TimePoint, TimePoint requested_at)->void> on_caught_up;
   std::function<auto(TimePoint, bool reachable)->void> on_reachable;
   std::function<auto(TimePoint, const schema::LogEntry&)->void>
       on_append_failed;
-  // The folded state, serialised, and the offset that it covers; empty for a
+  // Returns the serialised state and the offset that it covers. Empty for a
   // stream without snapshots.
   std::function<auto()->WholeSnapshot> export_state;
 };
 
 // One stream of the platform's log in one process: the follower, the writer,
-// and the snapshots that keep the state from expiring.
-class StreamDuty {
+// and the snapshots that preserve the state when the log expires its records.
+class StreamService {
  public:
-  StreamDuty(StreamDutyOptions options, StreamHooks hooks, Metrics* metrics);
-  StreamDuty(const StreamDuty&) = delete;
-  auto operator=(const StreamDuty&) -> StreamDuty& = delete;
+  StreamService(StreamServiceOptions options,
+                StreamHooks hooks,
+                Metrics* metrics);
+  StreamService(const StreamService&) = delete;
+  auto operator=(const StreamService&) -> StreamService& = delete;
 
   auto Start() -> void;
   auto Stop(std::chrono::milliseconds limit) -> void;
-  // False if the queue is full: nothing was taken.
+  // Returns false if the queue is full: the entry was not accepted.
   auto Append(schema::LogEntry entry) -> bool;
-  // The state was taken from a peer, at this offset.
+  // Continues after the offset `applied`, whose state came from a peer.
   auto SkipTo(uint64_t applied) -> void { follower_.SkipTo(applied); }
 
  private:
@@ -69,10 +71,10 @@
   auto WriteSnapshot(TimePoint now) -> void;
   auto SetReachable(bool reachable) -> void;
 
-  StreamDutyOptions options_;
+  StreamServiceOptions options_;
   StreamHooks hooks_;
   Metrics* metrics_;
-  // Belongs to the state's thread.
+  // Accessed only on the thread that owns the state.
   SnapshotPolicy policy_;
   StreamWriter writer_;
   StreamFollower follower_;
@@ -80,4 +82,4 @@
 
 }  // namespace rhubarbhaven
 
-#endif  // RHUBARBHAVEN_DAEMON_STREAM_DUTY_H_
+#endif  // RHUBARBHAVEN_DAEMON_STREAM_SERVICE_H_
--- a/Source/Daemon/keeper_duty.cc
+++ b/Source/Daemon/supervisor_thread.cc
@@ -1,4 +1,4 @@
-#include "Daemon/keeper_duty.h"
+#include "Daemon/supervisor_thread.h"
 
 #include <utility>
 #include <variant>
@@ -21,70 +21,73 @@
 
 }  // namespace
 
-KeeperDuty::KeeperDuty(const schema::DaemonSettings& settings,
-                       uint64_t incarnation,
-                       KeeperHooks hooks,
-                       Metrics* metrics)
+SupervisorThread::SupervisorThread(const schema::DaemonSettings& settings,
+                                   uint64_t incarnation,
+                                   SupervisorHooks hooks,
+                                   Metrics* metrics)
     : entries_(settings.agent().entries().begin(),
                settings.agent().entries().end()),
-      keeper_(OptionsOf(settings, incarnation)),
+      supervisor_(OptionsOf(settings, incarnation)),
       worker_(settings.agent().worker_url()),
       hooks_(std::move(hooks)),
       metrics_(metrics),
-      thread_(
-          {.on_tick = [this](TimePoint now) -> void {
-             Carry(keeper_.OnTick(now));
-           },
-           .next_wake = [this]() -> TimePoint { return keeper_.next_wake(); }}),
+      thread_({.on_tick = [this](TimePoint now) -> void {
+                 ExecuteActions(supervisor_.OnTick(now));
+               },
+               .next_wake = [this]() -> TimePoint {
+                 return supervisor_.next_wake();
+               }}),
       worker_thread_(
           {.on_tick = [](TimePoint) -> void {},
            .next_wake = []() -> TimePoint { return TimePoint::max(); }}) {}
 
-auto KeeperDuty::Start() -> void {
+auto SupervisorThread::Start() -> void {
   worker_thread_.Start();
   thread_.Start();
 }
 
-auto KeeperDuty::Stop() -> void {
+auto SupervisorThread::Stop() -> void {
   thread_.Stop();
   worker_thread_.Stop();
 }
 
-auto KeeperDuty::OnMessage(std::string entry, schema::Envelope message)
+auto SupervisorThread::OnMessage(std::string entry, schema::Envelope message)
     -> void {
-  const bool taken =
+  const bool accepted =
       thread_.Post([this, entry = std::move(entry),
                     message = std::move(message)](TimePoint now) -> void {
-        Carry(keeper_.OnMessage(now, entry, message));
+        ExecuteActions(supervisor_.OnMessage(now, entry, message));
       });
-  if (!taken) {
+  if (!accepted) {
     metrics_->AddReason("dropped", schema::RING_FULL);
   }
 }
 
-auto KeeperDuty::Leave() -> void {
-  thread_.PostOrWait(
-      [this](TimePoint now) -> void { Carry(keeper_.Leave(now)); });
+auto SupervisorThread::Leave() -> void {
+  thread_.PostOrWait([this](TimePoint now) -> void {
+    ExecuteActions(supervisor_.Leave(now));
+  });
 }
 
-auto KeeperDuty::Carry(const SupervisorActions& actions) -> void {
+auto SupervisorThread::ExecuteActions(const SupervisorActions& actions)
+    -> void {
   for (const auto& action : actions) {
-    std::visit([this](const auto& one) -> void { CarryOne(one); }, action);
+    std::visit([this](const auto& one) -> void { ExecuteAction(one); }, action);
   }
-  idle_ = keeper_.idle();
+  idle_ = supervisor_.idle();
   metrics_->SetGauge("rhubarbhaven_tasks_running",
-                     static_cast<double>(keeper_.running().size()));
+                     static_cast<double>(supervisor_.running().size()));
 }
 
-auto KeeperDuty::CarryOne(const CallWorker& call) -> void {
-  const bool taken = worker_thread_.Post([this, call](TimePoint) -> void {
+auto SupervisorThread::ExecuteAction(const CallWorker& call) -> void {
+  const bool accepted = worker_thread_.Post([this, call](TimePoint) -> void {
     const TaskCallResult outcome = worker_.Call(call);
     if (!outcome.known) {
       metrics_->Add("rhubarbhaven_worker_calls_unanswered_total");
     }
     Finish(outcome);
   });
-  if (!taken) {
+  if (!accepted) {
     TaskCallResult outcome;
     outcome.call_id = call.call_id;
     outcome.not_sent = true;
@@ -92,13 +95,13 @@
   }
 }
 
-auto KeeperDuty::Finish(const TaskCallResult& outcome) -> void {
+auto SupervisorThread::Finish(const TaskCallResult& outcome) -> void {
   thread_.PostOrWait([this, outcome](TimePoint now) -> void {
-    Carry(keeper_.OnWorkerReply(now, outcome));
+    ExecuteActions(supervisor_.OnWorkerReply(now, outcome));
   });
 }
 
-auto KeeperDuty::CarryOne(const SendToOwner& send) -> void {
+auto SupervisorThread::ExecuteAction(const SendToOwner& send) -> void {
   for (const auto& entry : entries_) {
     if (send.entry.empty() || send.entry == entry) {
       hooks_.send(entry, send.message);
@@ -106,7 +109,8 @@
   }
 }
 
-auto KeeperDuty::CarryOne(const CountSupervisorEvent& count) -> void {
+auto SupervisorThread::ExecuteAction(const CountSupervisorEvent& count)
+    -> void {
   metrics_->Add("rhubarbhaven_keeper_events_total{event=\"" + count.counter +
                 "\"}");
 }
--- a/Source/Daemon/worker_caller.cc
+++ b/Source/Daemon/worker_caller.cc
@@ -45,7 +45,7 @@
 auto FromJson(const std::string& text, google::protobuf::Message* message)
     -> bool {
   google::protobuf::util::JsonParseOptions options;
-  // A newer worker may say more than this version knows.
+  // A newer worker may send fields that this version does not know.
   options.ignore_unknown_fields = true;
   return google::protobuf::util::JsonStringToMessage(text, message, options)
       .ok();
@@ -60,8 +60,8 @@
   TaskCallResult outcome;
   outcome.call_id = call.call_id;
   const TimePoint now = Clock::now();
-  // Symptom without this check: a process that was stopped between decision
-  // and call starts a task after its lease is over.
+  // Without this check, a process that is suspended between the decision and
+  // the call would start a task after its lease has expired.
   if (now >= call.not_after) {
     outcome.not_sent = true;
     return outcome;
@@ -73,8 +73,8 @@
     request.timeout =
         std::chrono::ceil<std::chrono::milliseconds>(call.not_after - now);
   }
-  // On a kept connection that turned out dead, the start may have been sent or
-  // not, and its fate would have to be found out first.
+  // If a kept-alive connection proves to be closed, the start may or may not
+  // have been received, and its outcome would have to be determined first.
   request.fresh_connection = call.kind == CallWorker::Kind::kStart;
   const bool is_status = call.kind == CallWorker::Kind::kStatus;
   if (!is_status) {
@@ -86,11 +86,11 @@
   outcome.not_sent = !answer.handed_over;
   constexpr uint32_t kOk = 200;
   if (answer.complete && answer.http.status() == kOk) {
-    google::protobuf::Message* into = &outcome.reply;
+    google::protobuf::Message* target = &outcome.reply;
     if (is_status) {
-      into = &outcome.status;
+      target = &outcome.status;
     }
-    outcome.known = FromJson(answer.http.body(), into);
+    outcome.known = FromJson(answer.http.body(), target);
   }
   return outcome;
 }
--- a/Source/Daemon/worker_caller.h
+++ b/Source/Daemon/worker_caller.h
@@ -13,7 +13,7 @@
  public:
   explicit WorkerCaller(std::string base_url);
 
-  // Blocks until the answer came or its time-out passed.
+  // Blocks until the answer arrives or the call times out.
   auto Call(const CallWorker& call) -> TaskCallResult;
 
  private:
--- a/Tests/Client/change_plan_test.cc
+++ b/Tests/Client/change_plan_test.cc
@@ -33,14 +33,14 @@
   std::vector<RegisterObject> wanted;
   bool prune;
   std::map<std::string, uint64_t> expected;
-  // "key@expected version" of each change; "-" in front removes.
+  // "name@expected version" of each change, with the prefix "-" for a removal.
   std::string changes;
 };
 
 class ChangePlanTest : public testing::TestWithParam<PlanCase> {};
 
 // The partner has teams a (version 3) and b (version 5); q has a team c.
-TEST_P(ChangePlanTest, LeadsFromCurrentToWanted) {
+TEST_P(ChangePlanTest, TurnsCurrentIntoWanted) {
   const std::vector<schema::VersionedObject> current = {
       Versioned(Team("p", "a", 1), 3), Versioned(Team("p", "b", 1), 5),
       Versioned(Team("q", "c", 1), 6)};
@@ -71,17 +71,17 @@
         PlanCase{"Edit", {Team("p", "a", 2)}, false, {}, "a@3"},
         PlanCase{"Prune", {Team("p", "a", 1)}, true, {}, "-b@5"},
         PlanCase{"Seen", {Team("p", "a", 2)}, false, {{"team/a", 3}}, "a@3"},
-        // A version seen that is no longer current must come to a conflict,
-        // even where the wanted value happens to be there.
+        // An expected version that is no longer current must lead to a
+        // conflict, even if the object already has the wanted value.
         PlanCase{"Stale", {Team("p", "a", 1)}, false, {{"team/a", 2}}, "a@2"},
         PlanCase{"StalePrune", {}, true, {{"team/b", 4}}, "-a@3 -b@4"},
         PlanCase{"Unknown", {}, false, {{"team/x", 4}}, "error"}),
     [](const auto& info) { return info.param.name; });
 
-// Symptom: a drained instance gets work again, a cancelled job runs.
-// Sequence: an operator drains or cancels; the register is applied again.
-// Cause: fields that the register leaves out taken for "no".
-TEST(ChangePlanCarryOverTest, ApplyKeepsWhatCommandsHaveSet) {
+// Guards against a drained instance that gets work again and a cancelled job
+// that runs: an operator drains or cancels, the register is applied again, and
+// fields that the register omits are read as false.
+TEST(ChangePlanCommandSettingsTest, ApplyKeepsWhatCommandsHaveSet) {
   RegisterObject instance;
   instance.key.set_partner("p");
   instance.key.set_kind(kInstanceKind);
--- a/Tests/Client/client_test.cc
+++ b/Tests/Client/client_test.cc
@@ -1,9 +1,9 @@
 // Runs the cases under Cases/, one folder each:
-//   args             one command a line; "!PATH" posts to the log stand-in
-//   expected-exit    the exit code of each command, one a line
-//   expected-output  what all commands print, output and errors in order;
-//                    LOG and ENTRY stand for URLs, ID for a change's id
-// Commands run in the folder, with a log stand-in and with an entry that
+//   args             one command per line; "!PATH" posts to the log server
+//   expected-exit    the exit code of each command, one per line
+//   expected-output  the output and errors of all commands, in order;
+//                    LOG and ENTRY replace URLs, ID the id of a change
+// Commands run in the folder, with a simulated log server and an entry that
 // answers /operator/v1/NAME from the folder's NAME.json.
 
 #include <gtest/gtest.h>
@@ -110,8 +110,8 @@
                            return absl::StrReplaceAll(info.param, {{"-", "_"}});
                          });
 
-// Or an empty folder would pass.
-TEST(ClientCasesTest, ThereAreEnough) {
+// Without this test, an empty folder of cases would pass.
+TEST(ClientCasesTest, FindsEnoughCases) {
   EXPECT_GE(CaseNames().size(), 40);
 }
 
--- a/Tests/Daemon/adapters_test.cc
+++ b/Tests/Daemon/adapters_test.cc
@@ -21,9 +21,10 @@
 
 class EndpointOutcomeTest : public testing::TestWithParam<OutcomeCase> {};
 
-// Symptom: a caller gets the answer to another attempt. Sequence: the endpoint
-// crosses two answers. Cause: taking whatever comes on the connection.
-TEST_P(EndpointOutcomeTest, SaysWhatTheAttemptCameTo) {
+// Guards against a caller that receives the answer to another attempt: the
+// endpoint swaps two answers, and the agent accepts any answer that arrives on
+// the connection.
+TEST_P(EndpointOutcomeTest, MapsAnswerToOutcome) {
   const OutcomeCase& one = GetParam();
   HttpClientAnswer answer;
   answer.complete = one.complete;
@@ -71,7 +72,7 @@
   return ParseCallerRequest(http, Settings(), 1);
 }
 
-TEST(CallerApiTest, KeysOfServicesNeverMeet) {
+TEST(CallerApiTest, KeysOfDifferentServicesDiffer) {
   HttpServerRequest http;
   http.method = "POST";
   http.headers["idempotency-key"] = "k";
@@ -83,7 +84,7 @@
   EXPECT_NE(one.idempotency_key, other.idempotency_key);
 }
 
-TEST(CallerApiTest, PathQueryAndHeadersArePassedOn) {
+TEST(CallerApiTest, ForwardsPathQueryAndHeaders) {
   HttpServerRequest http;
   http.method = "GET";
   http.path = "/call/a/b/c/d";
@@ -97,7 +98,7 @@
   EXPECT_EQ(request.http.headers(0).name(), "accept");
 }
 
-TEST(CallerApiTest, RefusalSaysWhenToComeBack) {
+TEST(CallerApiTest, RejectionHasRetryAfter) {
   CallerReply reply;
   reply.verdict = schema::NOT_RUN;
   reply.reason = schema::OVERLOADED;
