--- a/Tests/Platform/heartbeat_server_test.cc
+++ b/Tests/Platform/heartbeat_server_test.cc
@@ -1,4 +1,5 @@
-// The address at which a worker reports itself, over loopback HTTP.
+// Tests the server for workers' heartbeats and leave notices over loopback
+// HTTP.
 
 #include "platform/heartbeat_server.h"
 
@@ -18,15 +19,15 @@
 
 using std::chrono::seconds;
 
-constexpr char kGood[] =
+constexpr char kValidHeartbeat[] =
     R"({"Service":"service","Address":"10.0.0.1:80","Zone":"zone",)"
     R"("State":"ready","Sequence":%,"Labels":["kind","rack"],)"
     R"("Capacity":{"Cpu":16000,"MemMb":64000}})";
-constexpr char kRefused[] =
+constexpr char kRefusedMetric[] =
     "rhubarbhaven_refused_total{reason=\"bad_request\"}";
 
-auto Good(int sequence) -> std::string {
-  std::string body = kGood;
+auto ValidHeartbeat(int sequence) -> std::string {
+  std::string body = kValidHeartbeat;
   return body.replace(body.find('%'), 1, absl::StrCat(sequence));
 }
 
@@ -43,7 +44,7 @@
     hooks.on_leave = [this](const std::string& worker_id,
                             const HeartbeatHooks::Respond& respond) {
       const std::lock_guard lock(mutex_);
-      left_.push_back(worker_id);
+      left_workers_.push_back(worker_id);
       respond(true);
     };
     server_ = std::make_unique<HeartbeatServer>(
@@ -67,7 +68,7 @@
   Metrics metrics_;
   std::mutex mutex_;
   std::vector<jobs::WorkerHeartbeat> heartbeats_;
-  std::vector<std::string> left_;
+  std::vector<std::string> left_workers_;
   std::unique_ptr<HeartbeatServer> server_;
   HttpClient client_;
 };
@@ -82,22 +83,22 @@
 class BadCallTest : public HeartbeatServerTest,
                     public testing::WithParamInterface<BadCall> {};
 
-// Symptom watched for: a worker's tasks are lost, or it gets none, after
-// somebody else's heartbeat. Sequence: a good one, a bad one, a good one.
-TEST_P(BadCallTest, ChangesNothingAndTheNextGoodOneCounts) {
-  ASSERT_EQ(Send("Heartbeat", "i-1", Good(1)).status(), 200U);
+// Guards against a worker losing its tasks, or getting none, because of an
+// invalid heartbeat of another sender between two valid ones.
+TEST_P(BadCallTest, IsRejectedAndNextValidHeartbeatIsAccepted) {
+  ASSERT_EQ(Send("Heartbeat", "i-1", ValidHeartbeat(1)).status(), 200U);
   for (uint64_t round = 1; round <= 3; ++round) {
     const auto answer = Send(GetParam().call, GetParam().id, GetParam().body);
     EXPECT_EQ(answer.status(), 400U);
     EXPECT_NE(answer.body().find("Error"), std::string::npos);
-    EXPECT_EQ(metrics_.counter(kRefused), round);
+    EXPECT_EQ(metrics_.counter(kRefusedMetric), round);
   }
-  EXPECT_EQ(Send("Heartbeat", "i-1", Good(2)).status(), 200U);
+  EXPECT_EQ(Send("Heartbeat", "i-1", ValidHeartbeat(2)).status(), 200U);
   const std::lock_guard lock(mutex_);
   ASSERT_EQ(heartbeats_.size(), 2U);
   EXPECT_EQ(heartbeats_[0].sequence, 1U);
   EXPECT_EQ(heartbeats_[1].sequence, 2U);
-  EXPECT_TRUE(left_.empty());
+  EXPECT_TRUE(left_workers_.empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -107,7 +108,7 @@
                     BadCall{"list", "Heartbeat", "i-1", "[1,2]"},
                     BadCall{"no_fields", "Heartbeat", "i-1", "{}"},
                     BadCall{"no_body", "Heartbeat", "i-1", ""},
-                    BadCall{"no_id", "Heartbeat", "", Good(9)},
+                    BadCall{"no_id", "Heartbeat", "", ValidHeartbeat(9)},
                     BadCall{"unknown_state", "Heartbeat", "i-1",
                             R"({"Service":"service","Address":"a","Zone":"z",)"
                             R"("State":"asleep","Sequence":9,"Labels":[],)"
@@ -121,14 +122,14 @@
     [](const auto& info) { return info.param.name; });
 
 TEST_F(HeartbeatServerTest, OtherPathsAreNotFound) {
-  EXPECT_EQ(Send("Other", "i-1", Good(1)).status(), 404U);
+  EXPECT_EQ(Send("Other", "i-1", ValidHeartbeat(1)).status(), 404U);
   EXPECT_TRUE(heartbeats_.empty());
 }
 
 TEST_F(HeartbeatServerTest, WorkerLeaves) {
   EXPECT_EQ(Send("Leave", "i-1", "").status(), 200U);
-  ASSERT_EQ(left_.size(), 1U);
-  EXPECT_EQ(left_.front(), "i-1");
+  ASSERT_EQ(left_workers_.size(), 1U);
+  EXPECT_EQ(left_workers_.front(), "i-1");
 }
 
 }  // namespace
--- a/Tests/Platform/wire_test.cc
+++ b/Tests/Platform/wire_test.cc
@@ -1,5 +1,6 @@
-// How the platform's bodies are read: what is whole becomes a typed value, what
-// is not is an error and never an exception, a crash or a success.
+// Tests the decoding of the platform's bodies: a valid body becomes a typed
+// value; an invalid one becomes an error, never an exception, a crash or a
+// success.
 
 #include <gtest/gtest.h>
 
@@ -21,14 +22,14 @@
 struct BodyCase {
   std::string name;
   std::string body;
-  // Whether the body was read as a success.
-  std::function<auto(const std::string&)->bool> reads;
+  // Returns whether the body is decoded as a success.
+  std::function<auto(const std::string&)->bool> is_decoded;
 };
 
 auto TwoRecords() -> std::string {
-  const std::string places =
+  const std::string header =
       std::string(7, '\0') + '\x0c' + std::string(8, '\0');
-  return places + EncodeRecords({{"j/a", "one", 0}, {"p/a", "two", 0}});
+  return header + EncodeRecords({{"j/a", "one", 0}, {"p/a", "two", 0}});
 }
 
 const std::vector<BodyCase> kBodies = {
@@ -54,10 +55,10 @@
      R"({"items":[{"Key":"k","Value":"dg==","Offset":3}],"More":false,"End":4})",
      [](const std::string& body) { return DecodeNewest(body).ok(); }},
     {"appended", R"({"Offset":3,"End":5})",
-     [](const std::string& body) { return SaysAppended(body); }},
+     [](const std::string& body) { return ConfirmsAppend(body); }},
     {"refusal", R"({"Reason":"room"})",
      [](const std::string& body) {
-       return DecodeRefusal(body) == jobs::WorkerCallOutcome::kNoRoom;
+       return DecodeRejection(body) == jobs::WorkerCallOutcome::kNoRoom;
      }},
     {"fenced", R"({"Reason":"fenced"})",
      [](const std::string& body) {
@@ -76,25 +77,25 @@
 
 class BodyTest : public testing::TestWithParam<BodyCase> {};
 
-TEST_P(BodyTest, WholeBodyIsRead) {
-  EXPECT_TRUE(GetParam().reads(GetParam().body));
+TEST_P(BodyTest, CompleteBodyIsDecoded) {
+  EXPECT_TRUE(GetParam().is_decoded(GetParam().body));
 }
 
-TEST_P(BodyTest, BytesWithoutMeaningAreNoSuccess) {
+TEST_P(BodyTest, RandomBytesAreRejected) {
   std::mt19937_64 random(11);
   for (uint64_t seed = 0; seed < kSeeds; ++seed) {
     std::string body(random() % 300, '\0');
     for (char& byte : body) {
       byte = static_cast<char>(random());
     }
-    EXPECT_FALSE(GetParam().reads(body)) << seed;
+    EXPECT_FALSE(GetParam().is_decoded(body)) << seed;
   }
 }
 
-// Symptom watched for: a process ends on a body that is nearly right. Cause
-// watched for: a field of another type, a number beyond its range, a row that
-// is too short.
-TEST_P(BodyTest, DamagedBodyIsReadOrRefused) {
+// Guards against a process that terminates on a body which is almost valid:
+// with a field of the wrong type, a number out of range, or a row that is too
+// short.
+TEST_P(BodyTest, DamagedBodyIsDecodedOrRejected) {
   const std::vector<std::string> pieces = {"null", "-1",   "1e300", "[]", "{}",
                                            "\"\"", "true", ",",     "0.5"};
   std::mt19937_64 random(13);
@@ -103,7 +104,7 @@
     const std::size_t at = random() % body.size();
     const std::size_t size = random() % 8;
     body.replace(at, size, pieces[random() % pieces.size()]);
-    static_cast<void>(GetParam().reads(body));
+    static_cast<void>(GetParam().is_decoded(body));
   }
   SUCCEED();
 }
@@ -117,19 +118,19 @@
                            return name;
                          });
 
-TEST(ReadTest, RecordsBeyondTheEndAreNoRead) {
+TEST(ReadTest, RecordsBeyondTheEndAreRejected) {
   EXPECT_FALSE(DecodeRead(TwoRecords(), 11).ok());
   EXPECT_TRUE(DecodeRead(TwoRecords(), 10).ok());
 }
 
-TEST(ReadTest, NumbersBeyondTheirRangeAreCut) {
+TEST(ReadTest, OutOfRangeNumbersAreClamped) {
   const auto job = DecodeJob(R"({"Steps":[{"Count":1e300,"Cpu":-5}]})");
   ASSERT_TRUE(job.ok());
   EXPECT_EQ(job->steps(0).count(), UINT32_MAX);
   EXPECT_EQ(job->steps(0).need().millicores(), 0U);
 }
 
-auto GoodHeartbeat() -> Json {
+auto ValidHeartbeat() -> Json {
   return {{"Service", "service"},
           {"Address", "10.0.0.1:80"},
           {"Zone", "zone"},
@@ -143,24 +144,24 @@
   std::string name;
   std::string id;
   std::string body;
-  // Part of the message.
+  // Expected part of the error message.
   std::string message;
 };
 
 auto With(const std::string& field, const Json& value) -> std::string {
-  Json heartbeat = GoodHeartbeat();
+  Json heartbeat = ValidHeartbeat();
   heartbeat[field] = value;
   return heartbeat.dump();
 }
 
 auto WithCapacity(const std::string& field, const Json& value) -> std::string {
-  Json heartbeat = GoodHeartbeat();
+  Json heartbeat = ValidHeartbeat();
   heartbeat["Capacity"][field] = value;
   return heartbeat.dump();
 }
 
 auto Without(const std::string& field) -> std::string {
-  Json heartbeat = GoodHeartbeat();
+  Json heartbeat = ValidHeartbeat();
   heartbeat.erase(field);
   return heartbeat.dump();
 }
@@ -169,16 +170,16 @@
   std::vector<HeartbeatCase> cases = {
       {"empty_body", "i", "", "JSON"},
       {"bytes", "i", "\xff\xfe", "JSON"},
-      {"cut", "i", GoodHeartbeat().dump().substr(0, 40), "JSON"},
+      {"cut", "i", ValidHeartbeat().dump().substr(0, 40), "JSON"},
       {"list", "i", "[]", "object"},
       {"text", "i", "\"ready\"", "object"},
       {"null", "i", "null", "object"},
       {"empty_object", "i", "{}", "Service"},
-      {"empty_id", "", GoodHeartbeat().dump(), "id"},
-      {"id_of_bytes", "\xff\xfe", GoodHeartbeat().dump(), "id"},
-      {"id_with_a_blank", "i 1", GoodHeartbeat().dump(), "id"},
-      {"id_of_two_parts", "i/1", GoodHeartbeat().dump(), "id"},
-      {"long_id", std::string(5000, 'i'), GoodHeartbeat().dump(), "id"},
+      {"empty_id", "", ValidHeartbeat().dump(), "id"},
+      {"id_of_bytes", "\xff\xfe", ValidHeartbeat().dump(), "id"},
+      {"id_with_a_blank", "i 1", ValidHeartbeat().dump(), "id"},
+      {"id_of_two_parts", "i/1", ValidHeartbeat().dump(), "id"},
+      {"long_id", std::string(5000, 'i'), ValidHeartbeat().dump(), "id"},
       {"empty_service", "i", With("Service", ""), "Service"},
       {"empty_zone", "i", With("Zone", ""), "Zone"},
       {"empty_address", "i", With("Address", ""), "Address"},
@@ -230,13 +231,13 @@
   return cases;
 }
 
-// Symptom: a worker gets tasks that it cannot run, or loses its own. Sequence:
-// another writer sends a heartbeat with fields that are missing, of another
-// type or out of range. Cause: such fields were read as empty, zero or the
-// nearest value, and a state that is not known as ready.
+// Guards against a worker that gets tasks it cannot run, or loses its own,
+// after another writer sends a heartbeat with fields that are missing, of the
+// wrong type or out of range. It happened when such fields were read as empty,
+// zero or the nearest value, and an unknown state was read as ready.
 class BadHeartbeatTest : public testing::TestWithParam<HeartbeatCase> {};
 
-TEST_P(BadHeartbeatTest, IsRefusedWithItsReason) {
+TEST_P(BadHeartbeatTest, IsRejectedWithReason) {
   const auto heartbeat = DecodeHeartbeat(GetParam().id, GetParam().body);
   ASSERT_FALSE(heartbeat.ok());
   EXPECT_NE(std::string(heartbeat.status().message()).find(GetParam().message),
@@ -249,10 +250,10 @@
                          testing::ValuesIn(BadHeartbeats()),
                          [](const auto& info) { return info.param.name; });
 
-// Fields that the platform leaves out when they are zero, and those that are
-// not used here, are no reason to refuse.
-TEST(HeartbeatTest, WhatMayBeMissingMayBeMissing) {
-  Json heartbeat = GoodHeartbeat();
+// A heartbeat is not rejected for fields that the platform omits when they are
+// zero, or for fields that are not used here.
+TEST(HeartbeatTest, OptionalFieldsMayBeMissing) {
+  Json heartbeat = ValidHeartbeat();
   heartbeat["Capacity"].erase("Gpu");
   heartbeat["Labels"] = Json::array();
   heartbeat["Slots"] = "of another type";
@@ -266,8 +267,8 @@
   EXPECT_FALSE(read->draining);
 }
 
-TEST(HeartbeatTest, DrainingWorkerSaysWhatIsLeft) {
-  Json heartbeat = GoodHeartbeat();
+TEST(HeartbeatTest, DrainingWorkerReportsRemainingTime) {
+  Json heartbeat = ValidHeartbeat();
   heartbeat["State"] = "draining";
   heartbeat["RemainingMs"] = 1500;
   const auto read = DecodeHeartbeat("i-1", heartbeat.dump());
--- a/Tests/Process/platform_test.cc
+++ b/Tests/Process/platform_test.cc
@@ -250,7 +250,7 @@
   for (auto& [name, process] : processes_) {
     process->Kill();
   }
-  platform_->ForgetHistory();
+  platform_->CompactLog();
   for (int i = 0; i < kAgents; ++i) {
     StartAgent(i);
   }
@@ -346,11 +346,11 @@
 // watched for: an answer is taken by its status alone.
 TEST_F(PlatformTest, AnswersWithoutMeaningLoseNothing) {
   ASSERT_TRUE(Submit("00000000000000a1"));
-  platform_->SetGarbage(true);
+  platform_->SetGarbageAnswers(true);
   const auto answer = Call(0, "POST", "/jobs/00000000000000a2", kBody);
   EXPECT_NE(answer.http.status(), 200U);
   std::this_thread::sleep_for(kGarbageFor);
-  platform_->SetGarbage(false);
+  platform_->SetGarbageAnswers(false);
   EXPECT_TRUE(Completes(0, "00000000000000a1"));
   ASSERT_TRUE(Submit("00000000000000a2"));
   EXPECT_TRUE(Completes(0, "00000000000000a2"));
@@ -393,7 +393,7 @@
   ASSERT_TRUE(BecomesReady(0));
   ASSERT_TRUE(BecomesReady(1));
   ASSERT_TRUE(Submit("00000000000000a1"));
-  platform_->ConfigureGarbage();
+  platform_->PublishInvalidConfiguration();
   EXPECT_TRUE(WaitFor(
       [this]() -> bool {
         return processes_["entry-0"]->Output().find(
--- a/Tests/Soak/fault_injector.cc
+++ b/Tests/Soak/fault_injector.cc
@@ -207,7 +207,7 @@
       platform.SetLogMode(VirtualLog::Mode::kReadsSilent);
       break;
     case FaultKind::kLogForgets:
-      platform.ForgetHistory();
+      platform.CompactLog();
       break;
     default:
       platform.CrashWorker(fault.number);
--- a/Tests/Soak/processes.cc
+++ b/Tests/Soak/processes.cc
@@ -19,7 +19,7 @@
 
 Processes::Processes(const SoakOptions& options,
                      std::string folder,
-                     test::PlatformWatch watch)
+                     test::PlatformHooks watch)
     : binary_(options.binary), folder_(std::move(folder)) {
   for (int i = 0; i < options.agents; ++i) {
     heartbeat_addresses_.push_back(FreeAddress());
--- a/Tests/Soak/processes.h
+++ b/Tests/Soak/processes.h
@@ -19,7 +19,7 @@
  public:
   Processes(const SoakOptions& options,
             std::string folder,
-            test::PlatformWatch watch);
+            test::PlatformHooks watch);
   Processes(const Processes&) = delete;
   auto operator=(const Processes&) -> Processes& = delete;
   ~Processes();
--- a/Tests/Soak/soak.cc
+++ b/Tests/Soak/soak.cc
@@ -75,8 +75,8 @@
   auto lag() const -> milliseconds { return lag_.longest(); }
 
  private:
-  auto MakeWatch() -> test::PlatformWatch {
-    test::PlatformWatch watch;
+  auto MakeWatch() -> test::PlatformHooks {
+    test::PlatformHooks watch;
     watch.work = WorkOf;
     watch.fails = Fails;
     watch.on_start = [this](const std::string& worker,
--- a/Tests/StandIns/Platform/platform_stand_in.cc
+++ b/Tests/StandIns/Platform/platform_stand_in.cc
@@ -18,15 +18,15 @@
 using jobs::AppendOutcome;
 using jobs::WorkerCallOutcome;
 
-constexpr std::chrono::milliseconds kTurn{1};
-constexpr std::chrono::milliseconds kHeartbeat{500};
-constexpr std::chrono::milliseconds kWork{150};
+constexpr std::chrono::milliseconds kTickInterval{1};
+constexpr std::chrono::milliseconds kHeartbeatInterval{500};
+constexpr std::chrono::milliseconds kDefaultWorkTime{150};
 constexpr std::size_t kLengthBytes = 4;
-constexpr std::size_t kPlaceBytes = 8;
+constexpr std::size_t kOffsetBytes = 8;
 constexpr unsigned kBitsPerByte = 8;
-constexpr std::size_t kMostGarbageBytes = 300;
+constexpr std::size_t kMaxGarbageBytes = 300;
 
-auto BigEndian(uint64_t value, std::size_t bytes) -> std::string {
+auto EncodeBigEndian(uint64_t value, std::size_t bytes) -> std::string {
   std::string text;
   for (std::size_t i = bytes; i > 0; --i) {
     text.push_back(static_cast<char>(value >> (kBitsPerByte * (i - 1))));
@@ -34,7 +34,7 @@
   return text;
 }
 
-auto FromBigEndian(const std::string& text, std::size_t at, std::size_t bytes)
+auto ReadBigEndian(const std::string& text, std::size_t at, std::size_t bytes)
     -> uint64_t {
   uint64_t value = 0;
   for (std::size_t i = 0; i < bytes; ++i) {
@@ -47,7 +47,7 @@
   std::vector<jobs::KeyedRecord> records;
   std::size_t at = 0;
   while (at + kLengthBytes < body.size()) {
-    const std::size_t size = FromBigEndian(body, at, kLengthBytes);
+    const std::size_t size = ReadBigEndian(body, at, kLengthBytes);
     at += kLengthBytes;
     const std::size_t key = static_cast<unsigned char>(body[at]);
     records.push_back({body.substr(at + 1, key),
@@ -57,9 +57,10 @@
   return records;
 }
 
-auto RecordBytes(const jobs::KeyedRecord& record) -> std::string {
-  return BigEndian(1 + record.key.size() + record.value.size(), kLengthBytes) +
-         BigEndian(record.key.size(), 1) + record.key + record.value;
+auto EncodeRecord(const jobs::KeyedRecord& record) -> std::string {
+  return EncodeBigEndian(1 + record.key.size() + record.value.size(),
+                         kLengthBytes) +
+         EncodeBigEndian(record.key.size(), 1) + record.key + record.value;
 }
 
 auto QueryNumber(const HttpServerRequest& request, const std::string& name)
@@ -108,10 +109,10 @@
   if (result.outcome == jobs::ReadOutcome::kFailed) {
     return JsonAnswer(503, Json::object());
   }
-  std::string body =
-      BigEndian(result.end, kPlaceBytes) + BigEndian(0, kPlaceBytes);
+  std::string body = EncodeBigEndian(result.end, kOffsetBytes) +
+                     EncodeBigEndian(0, kOffsetBytes);
   for (const auto& record : result.records) {
-    body += RecordBytes(record);
+    body += EncodeRecord(record);
   }
   return {200, {}, body};
 }
@@ -131,20 +132,20 @@
 }
 
 auto OrderAnswer(WorkerCallOutcome outcome) -> HttpServerAnswer {
-  const auto refused = [](const char* reason) -> HttpServerAnswer {
+  const auto rejected = [](const char* reason) -> HttpServerAnswer {
     return JsonAnswer(409, {{"Reason", reason}});
   };
   switch (outcome) {
     case WorkerCallOutcome::kDone:
       return JsonAnswer(200, {{"ClockMs", 0}});
     case WorkerCallOutcome::kNoRoom:
-      return refused("room");
+      return rejected("room");
     case WorkerCallOutcome::kRunOver:
-      return refused("old");
+      return rejected("old");
     case WorkerCallOutcome::kLate:
-      return refused("late");
+      return rejected("late");
     case WorkerCallOutcome::kFenced:
-      return refused("fence");
+      return rejected("fence");
     case WorkerCallOutcome::kOtherWorkerId:
       return JsonAnswer(421, Json::object());
     default:
@@ -193,8 +194,8 @@
 }  // namespace
 
 PlatformStandIn::PlatformStandIn(std::vector<std::string> heartbeat_addresses,
-                                 PlatformWatch watch)
-    : watch_(std::move(watch)) {
+                                 PlatformHooks hooks)
+    : hooks_(std::move(hooks)) {
   log_port_ = log_.PortFor("caller", [] { return true; });
   log_server_ = MakeServer([this](const HttpServerRequest& request,
                                   const HttpResponder& respond) -> void {
@@ -202,28 +203,29 @@
   });
   for (std::size_t i = 0; i < heartbeat_addresses.size(); ++i) {
     const int number = static_cast<int>(i);
-    WorkerPlace place;
-    place.model = std::make_unique<jobs::VirtualWorker>(
+    SimulatedWorker simulated_worker;
+    simulated_worker.model = std::make_unique<jobs::VirtualWorker>(
         &time_, absl::StrCat("worker-", number), MakeWatch());
-    place.heartbeat_address = heartbeat_addresses[i];
-    place.server = MakeServer([this, number](const HttpServerRequest& request,
-                                             const HttpResponder& respond) {
-      HandleWorker(number, request, respond);
-    });
-    workers_.push_back(std::move(place));
+    simulated_worker.heartbeat_address = heartbeat_addresses[i];
+    simulated_worker.server =
+        MakeServer([this, number](const HttpServerRequest& request,
+                                  const HttpResponder& respond) {
+          HandleWorker(number, request, respond);
+        });
+    workers_.push_back(std::move(simulated_worker));
   }
   thread_ = std::thread([this]() -> void { Run(); });
   for (std::size_t i = 0; i < workers_.size(); ++i) {
     const std::lock_guard lock(mutex_);
-    Beat(static_cast<int>(i));
+    SendHeartbeat(static_cast<int>(i));
   }
 }
 
 PlatformStandIn::~PlatformStandIn() {
-  // Reads that wait are answered while the clock of the models still runs.
+  // Waiting reads are answered only while the clock of the models still runs.
   log_server_.reset();
-  for (auto& place : workers_) {
-    place.server.reset();
+  for (auto& simulated_worker : workers_) {
+    simulated_worker.server.reset();
   }
   stop_ = true;
   thread_.join();
@@ -260,7 +262,7 @@
   log_.SetMode(mode);
 }
 
-auto PlatformStandIn::ForgetHistory() -> void {
+auto PlatformStandIn::CompactLog() -> void {
   const std::lock_guard lock(mutex_);
   log_.Compact();
 }
@@ -270,18 +272,18 @@
   workers_.at(number).model->Crash();
 }
 
-auto PlatformStandIn::SetGarbage(bool on) -> void {
+auto PlatformStandIn::SetGarbageAnswers(bool on) -> void {
   const std::lock_guard lock(mutex_);
   garbage_ = on;
 }
 
-auto PlatformStandIn::ConfigureGarbage() -> void {
+auto PlatformStandIn::PublishInvalidConfiguration() -> void {
   const std::lock_guard lock(mutex_);
   log_.Put(jobs::LogTopic::kOperators, {"config", R"({"Version":"?",)", 0});
 }
 
-auto PlatformStandIn::Garbage() -> HttpServerAnswer {
-  std::string bytes(random_() % kMostGarbageBytes, '\0');
+auto PlatformStandIn::MakeGarbageAnswer() -> HttpServerAnswer {
+  std::string bytes(random_() % kMaxGarbageBytes, '\0');
   for (char& byte : bytes) {
     byte = static_cast<char>(random_());
   }
@@ -305,15 +307,18 @@
 
 auto PlatformStandIn::Runs(const std::string& task) -> bool {
   const std::lock_guard lock(mutex_);
-  return std::any_of(
-      workers_.begin(), workers_.end(),
-      [&task](const auto& place) { return place.model->Runs(task); });
+  return std::any_of(workers_.begin(), workers_.end(),
+                     [&task](const auto& simulated_worker) {
+                       return simulated_worker.model->Runs(task);
+                     });
 }
 
 auto PlatformStandIn::HasRoom() -> bool {
   const std::lock_guard lock(mutex_);
   return std::any_of(workers_.begin(), workers_.end(),
-                     [](const auto& place) { return place.model->HasRoom(); });
+                     [](const auto& simulated_worker) {
+                       return simulated_worker.model->HasRoom();
+                     });
 }
 
 auto PlatformStandIn::Run() -> void {
@@ -326,20 +331,20 @@
       while (time_.Step(end)) {
       }
     }
-    std::this_thread::sleep_for(kTurn);
+    std::this_thread::sleep_for(kTickInterval);
   }
 }
 
-auto PlatformStandIn::Beat(int number) -> void {
-  auto& place = workers_.at(number);
-  const auto heartbeat = place.model->Heartbeat();
+auto PlatformStandIn::SendHeartbeat(int number) -> void {
+  auto& simulated_worker = workers_.at(number);
+  const auto heartbeat = simulated_worker.model->Heartbeat();
   HttpClientRequest request;
   request.method = "POST";
   request.url =
-      absl::StrCat("http://", place.heartbeat_address,
+      absl::StrCat("http://", simulated_worker.heartbeat_address,
                    "/rhubarbhaven/Instances.Heartbeat/", heartbeat.worker_id);
   request.body = Json{{"Service", heartbeat.service},
-                      {"Address", place.heartbeat_address},
+                      {"Address", simulated_worker.heartbeat_address},
                       {"Zone", "zone"},
                       {"State", "ready"},
                       {"Sequence", heartbeat.sequence},
@@ -349,16 +354,17 @@
                         {"MemMb", heartbeat.capacity.memory_mb()}}}}
                      .dump();
   heartbeats_.Start(std::move(request), [](const HttpClientAnswer&) {});
-  time_.After(kHeartbeat, [this, number]() -> void { Beat(number); });
+  time_.After(kHeartbeatInterval,
+              [this, number]() -> void { SendHeartbeat(number); });
 }
 
 auto PlatformStandIn::MakeWatch() -> jobs::WorkerWatch {
-  jobs::WorkerWatch watch;
-  watch.on_start = [this](const std::string& worker, const jobs::TaskName& task,
+  jobs::WorkerWatch hooks;
+  hooks.on_start = [this](const std::string& worker, const jobs::TaskName& task,
                           uint64_t run) -> void {
     ++starts_;
-    if (watch_.on_start) {
-      watch_.on_start(worker, task, run);
+    if (hooks_.on_start) {
+      hooks_.on_start(worker, task, run);
     }
     const std::string name = DescribeTask(task);
     for (const auto& other : workers_) {
@@ -371,26 +377,26 @@
       AddProblem(name + " starts after its end");
     }
   };
-  watch.on_end = [this](const jobs::TaskName& task, jobs::RunEnd end,
+  hooks.on_end = [this](const jobs::TaskName& task, jobs::RunEnd end,
                         bool noted) -> void {
     if (end == jobs::RUN_DONE && noted) {
       done_.insert(DescribeTask(task));
     }
   };
-  watch.on_done = [this](const jobs::TaskName&) -> void { ++ends_; };
-  watch.work = [this](const jobs::TaskName& task) {
-    return watch_.work ? watch_.work(task) : kWork;
+  hooks.on_done = [this](const jobs::TaskName&) -> void { ++ends_; };
+  hooks.work = [this](const jobs::TaskName& task) {
+    return hooks_.work ? hooks_.work(task) : kDefaultWorkTime;
   };
-  watch.fails = [this](const jobs::TaskName& task) {
-    return watch_.fails && watch_.fails(task);
+  hooks.fails = [this](const jobs::TaskName& task) {
+    return hooks_.fails && hooks_.fails(task);
   };
-  return watch;
+  return hooks;
 }
 
 auto PlatformStandIn::AddProblem(const std::string& problem) -> void {
   problems_.push_back(problem);
-  if (watch_.on_problem) {
-    watch_.on_problem(problem);
+  if (hooks_.on_problem) {
+    hooks_.on_problem(problem);
   }
 }
 
@@ -412,7 +418,7 @@
                                 const HttpResponder& respond) -> void {
   const std::lock_guard lock(mutex_);
   if (garbage_) {
-    respond(Garbage());
+    respond(MakeGarbageAnswer());
     return;
   }
   if (absl::EndsWith(request.path, "log-append")) {
@@ -448,7 +454,7 @@
                                    const HttpResponder& respond) -> void {
   const std::lock_guard lock(mutex_);
   if (garbage_) {
-    respond(Garbage());
+    respond(MakeGarbageAnswer());
     return;
   }
   const Json body = Json::parse(request.body, nullptr, false);
@@ -468,7 +474,7 @@
               });
     return;
   }
-  const auto task = platform::ParseTask(body.value("Task", ""));
+  const auto task = platform::ParseTaskName(body.value("Task", ""));
   if (!task.ok()) {
     respond(JsonAnswer(400, Json::object()));
     return;
--- a/Tests/StandIns/Platform/platform_stand_in.h
+++ b/Tests/StandIns/Platform/platform_stand_in.h
@@ -20,11 +20,11 @@
 
 namespace rhubarbhaven::test {
 
-// What a test decides about the tasks, and what it is told of them, under the
-// stand-in's lock: it must not call back.
-struct PlatformWatch {
+// Functions by which a test controls the tasks and is notified of them. They
+// run under the stand-in's lock and must not call the stand-in.
+struct PlatformHooks {
   std::function<auto(const jobs::TaskName&)->std::chrono::milliseconds> work;
-  // Whether a run of the task ends as failed.
+  // Returns whether a run of the task ends as failed.
   std::function<auto(const jobs::TaskName&)->bool> fails;
   std::function<
       auto(const std::string& worker, const jobs::TaskName&, uint64_t run)
@@ -33,15 +33,15 @@
   std::function<auto(const std::string&)->void> on_problem;
 };
 
-// The partners' platform for tests of real processes, by its published
-// interfaces: the log and one worker for each agent, over HTTP on loopback. The
-// models are those of the explorer, with the real clock behind them.
+// Implements the published interfaces of the partners' platform for tests of
+// real processes: the log and one worker for each agent, over HTTP on loopback.
+// It uses the explorer's models of them, driven by the real clock.
 class PlatformStandIn {
  public:
-  // Each worker reports itself to the address of the same place in
-  // `heartbeat_addresses`.
+  // Creates one worker for each element of `heartbeat_addresses`, to which it
+  // sends its heartbeats.
   explicit PlatformStandIn(std::vector<std::string> heartbeat_addresses,
-                           PlatformWatch watch = {});
+                           PlatformHooks hooks = {});
   PlatformStandIn(const PlatformStandIn&) = delete;
   auto operator=(const PlatformStandIn&) -> PlatformStandIn& = delete;
   ~PlatformStandIn();
@@ -52,37 +52,38 @@
   // Publishes a configuration with one queue, /jobs/ at host "queue.example".
   auto Configure(uint64_t version) -> void;
   auto SetLogMode(jobs::VirtualLog::Mode mode) -> void;
-  auto ForgetHistory() -> void;
+  auto CompactLog() -> void;
   auto CrashWorker(int number) -> void;
-  // While on, the log and the workers answer every call with success and bytes
-  // without meaning, and carry out none.
-  auto SetGarbage(bool on) -> void;
-  // Publishes a configuration that nobody can read.
-  auto ConfigureGarbage() -> void;
+  // While on, the log and the workers answer every call with success and random
+  // bytes, and execute none.
+  auto SetGarbageAnswers(bool on) -> void;
+  // Publishes a configuration that cannot be decoded.
+  auto PublishInvalidConfiguration() -> void;
 
-  // What was broken: a task in two places, or run again after its end.
+  // Returns the violations found: a task that ran in two places, or again after
+  // its end.
   auto problems() -> std::vector<std::string>;
   auto starts() -> int;
   auto ends() -> int;
-  // Whether a worker runs the task, by its name.
+  // Returns whether a worker runs the task of this name.
   auto Runs(const std::string& task) -> bool;
-  // Whether a worker would start one more run.
+  // Returns whether a worker would start one more run.
   auto HasRoom() -> bool;
 
  private:
-  struct WorkerPlace {
+  struct SimulatedWorker {
     std::unique_ptr<jobs::VirtualWorker> model;
     std::unique_ptr<HttpServer> server;
     std::string heartbeat_address;
   };
 
   auto Run() -> void;
-  auto Beat(int number) -> void;
+  auto SendHeartbeat(int number) -> void;
   auto MakeWatch() -> jobs::WorkerWatch;
   auto MakeServer(
       std::function<auto(const HttpServerRequest&, const HttpResponder&)->void>
           handle) -> std::unique_ptr<HttpServer>;
-  auto Garbage() -> HttpServerAnswer;
+  auto MakeGarbageAnswer() -> HttpServerAnswer;
   auto HandleLog(const HttpServerRequest& request, const HttpResponder& respond)
       -> void;
   auto HandleWorker(int number,
@@ -92,11 +93,11 @@
   auto AddProblem(const std::string& problem) -> void;
 
   std::mutex mutex_;
-  PlatformWatch watch_;
+  PlatformHooks hooks_;
   jobs::VirtualTime time_{1};
   jobs::VirtualLog log_{&time_};
   jobs::KeyedLogPort log_port_;
-  std::vector<WorkerPlace> workers_;
+  std::vector<SimulatedWorker> workers_;
   std::unique_ptr<HttpServer> log_server_;
   HttpCaller heartbeats_{8};
   std::vector<std::string> problems_;
