--- a/Tests/Jobs/cancel_explorer_test.cc
+++ b/Tests/Jobs/cancel_explorer_test.cc
@@ -1,11 +1,11 @@
-// Random orders of cancels and faults over virtual time.
+// Explores random orders of cancels and faults in virtual time.
 //
-// Symptom watched for: a task that is started long after its job's cancel was
-// acknowledged, or a job that nobody cancelled and that is said to be cancelled
-// or not there. Several clients cancel a job at different entries, also before
-// its hand-in was answered, and each takes the first acknowledgement at its
-// word. Entries read late, slowly or not at all, what they append is stored
-// seconds later, and owners are cut off from agents.
+// Checks that no task is started long after the cancel of its job was
+// acknowledged, and that no job that nobody cancelled is reported as cancelled
+// or unknown. Several clients cancel a job at different entries, some of them
+// before its submission was answered, and each of them relies on the first
+// acknowledgement. Entries read late, slowly or not at all, their appends are
+// stored seconds later, and owners are cut off from agents.
 
 #include <gtest/gtest.h>
 
@@ -27,96 +27,101 @@
 using std::chrono::seconds;
 
 constexpr int kRounds = 14;
-constexpr milliseconds kLook{100};
-// A cancel that was acknowledged is in force after this.
-constexpr milliseconds kCancelHolds{4000};
-// A fault excuses nothing that happens later than this after it, and at most a
-// look passes until it is seen to be over.
-constexpr milliseconds kContact = milliseconds(4000) + kLook;
-// From the order to stop to the end of a run, with the next look at the worker.
-constexpr milliseconds kStops{1000};
-// Within this a job that is accepted may be said not to be there.
-constexpr milliseconds kVisible{3000};
-// What has long been over is dropped from the log, and is not there any more.
-constexpr seconds kAskedFor{60};
-constexpr milliseconds kAskTimeout{3500};
+constexpr milliseconds kCheckInterval{100};
+// A cancel must be effective this long after it was acknowledged.
+constexpr milliseconds kCancelEffectiveWithin{4000};
+// A fault excuses nothing that happens later than this after its end. The end
+// of a fault is noticed at most one check interval late.
+constexpr milliseconds kFaultGracePeriod = milliseconds(4000) + kCheckInterval;
+// Time from the order to stop until the end of a run, including the next poll
+// of the worker.
+constexpr milliseconds kMaxStopTime{1000};
+// An accepted job may be reported as unknown for this long.
+constexpr milliseconds kVisibleWithin{3000};
+// Jobs are queried for this long. Some time after their end they are deleted
+// from the log and are then unknown.
+constexpr seconds kQueryPeriod{60};
+constexpr milliseconds kAnswerTimeout{3500};
 constexpr double kCancelShare = 0.7;
-// Of reads that are answered too late, or just in time.
-constexpr int64_t kSlowestReads = 40;
-constexpr int64_t kFastestSlowReads = 4000;
-// Another entry has to be there that reads, and can still tell that the owner
-// is silent.
-constexpr std::ptrdiff_t kMostBlind = 1;
-constexpr int kJobsOfBlindOwner = 5;
-constexpr double kMostAnswersLost = 0.8;
+// Bandwidths at which reads are answered too late, or just in time.
+constexpr int64_t kMinSlowBandwidth = 40;
+constexpr int64_t kMaxSlowBandwidth = 4000;
+// Another entry must be able to read, so that it can detect that the owner does
+// not answer.
+constexpr std::ptrdiff_t kMaxEntriesNotReading = 1;
+constexpr int kJobsWhileOwnerCannotRead = 5;
+constexpr double kLostAnswersShare = 0.8;
 
 enum : int64_t {
-  kSilentReads = kLastPlainFault + 1,
+  kUnansweredReads = kLastCommonFault + 1,
   kSlowReads,
   kLateAppends,
   kHeldAppends,
-  kBlindOwner,
-  kOwnerCutOff,
+  kOwnerCannotRead,
+  kOwnerLinksCut,
   kFaults,
 };
 
-class CancelPlay {
+class CancelScenario {
  public:
-  explicit CancelPlay(uint64_t seed) : world_(Options(seed)) { Look(); }
+  explicit CancelScenario(uint64_t seed) : cluster_(Options(seed)) {
+    CheckPeriodically();
+  }
 
   auto Run() -> void;
   auto problems() const -> std::vector<std::string>;
-  auto world() const -> const JobWorld& { return world_; }
-  // Jobs whose cancel was acknowledged.
+  auto cluster() const -> const SimulatedCluster& { return cluster_; }
+  // Number of jobs whose cancel was acknowledged.
   auto cancelled() const -> std::size_t { return acknowledged_.size(); }
 
  private:
-  auto Options(uint64_t seed) -> JobWorldOptions;
-  auto SubmitAny() -> std::string;
-  // Some clients cancel the job, all at about the same time.
+  auto Options(uint64_t seed) -> SimulatedClusterOptions;
+  auto SubmitRandomJob() -> std::string;
+  // Several clients cancel the job at about the same time.
   auto CancelLater(const std::string& job) -> void;
-  // Until it is acknowledged, at one entry after the other.
+  // Cancels the job at one entry after the other until it is acknowledged.
   auto CancelAt(int entry, const std::string& job) -> void;
   auto InjectFault() -> void;
-  auto CutOwnerOff(milliseconds span) -> void;
-  auto SilenceReads(int entry) -> void;
-  // The owner alone, and with nothing else that fails.
-  auto BlindOwner() -> void;
+  auto CutOwnerLinks(milliseconds span) -> void;
+  auto StopReads(int entry) -> void;
+  // Stops the reads of the owner alone, without any other fault.
+  auto StopOwnerReads() -> void;
   auto Heal() -> void;
-  auto AskAny() -> void;
-  auto Ask(int entry, const std::string& job) -> void;
-  // Faults in force now, and what runs on although it is cancelled.
-  auto Look() -> void;
+  auto QueryRandomJob() -> void;
+  auto Query(int entry, const std::string& job) -> void;
+  // Records active faults, checks what runs although it is cancelled, and
+  // queries a job.
+  auto CheckPeriodically() -> void;
   auto CheckRuns() -> void;
   auto CheckStates() -> void;
   auto OnStart(const TaskName& task) -> void;
-  // Whether a fault is in force that excuses a start. Reads that are silent or
-  // slow at some entries do not, for longer than it takes until one that reads
-  // has replaced the owner.
-  auto Disturbed() const -> bool;
-  // No such fault was in force for this long.
-  auto CalmFor(milliseconds span) -> bool;
-  auto AnyEntry() -> int {
-    return static_cast<int>(world_.time().Pick(0, world_.entries() - 1));
+  // Whether a fault is active that excuses a start. Unanswered or slow reads at
+  // some entries do not, beyond the time until an entry that reads has replaced
+  // the owner.
+  auto HasFault() const -> bool;
+  // Whether no such fault was active for this long.
+  auto IsStableFor(milliseconds span) -> bool;
+  auto RandomEntry() -> int {
+    return static_cast<int>(cluster_.time().Pick(0, cluster_.entries() - 1));
   }
-  auto Problem(const std::string& text) -> void;
+  auto ReportProblem(const std::string& text) -> void;
 
   // When a cancel of the job was first acknowledged.
   std::map<std::string, TimePoint> acknowledged_;
-  std::set<std::string> cancel_asked_;
-  // Entries whose reads are silent or slow.
-  std::set<int> blind_;
+  std::set<std::string> cancel_requested_;
+  // Entries whose reads are unanswered or slow.
+  std::set<int> not_reading_;
   std::map<std::string, TimePoint> accepted_;
   std::set<std::string> started_;
-  // Said to run on once.
-  std::set<std::string> told_;
-  TimePoint disturbed_at_;
+  // Tasks already reported as running after their cancel.
+  std::set<std::string> reported_;
+  TimePoint last_fault_at_;
   std::vector<std::string> problems_;
-  JobWorld world_;
+  SimulatedCluster cluster_;
 };
 
-auto CancelPlay::Options(uint64_t seed) -> JobWorldOptions {
-  JobWorldOptions options;
+auto CancelScenario::Options(uint64_t seed) -> SimulatedClusterOptions {
+  SimulatedClusterOptions options;
   options.seed = seed;
   options.failing_runs = 0.1;
   options.paced_registration = true;
@@ -125,70 +130,70 @@
   return options;
 }
 
-auto CancelPlay::Run() -> void {
-  auto& time = world_.time();
-  world_.RunFor(seconds(4));
+auto CancelScenario::Run() -> void {
+  auto& time = cluster_.time();
+  cluster_.RunFor(seconds(4));
   for (int round = 0; round < kRounds; ++round) {
     for (int64_t left = time.Pick(1, 3); left > 0; --left) {
-      const auto job = SubmitAny();
+      const auto job = SubmitRandomJob();
       if (time.Chance(kCancelShare)) {
         CancelLater(job);
       }
-      world_.RunFor(time.Milliseconds(0, 300));
+      cluster_.RunFor(time.Milliseconds(0, 300));
     }
     InjectFault();
     if (time.Chance(0.4)) {
       InjectFault();
     }
-    world_.RunFor(time.Milliseconds(200, 6000));
+    cluster_.RunFor(time.Milliseconds(200, 6000));
     if (time.Chance(0.5)) {
       Heal();
-      world_.RunFor(time.Milliseconds(0, 9000));
+      cluster_.RunFor(time.Milliseconds(0, 9000));
     }
   }
   Heal();
-  world_.RunFor(seconds(60));
+  cluster_.RunFor(seconds(60));
   CheckStates();
 }
 
-auto CancelPlay::SubmitAny() -> std::string {
-  auto& time = world_.time();
+auto CancelScenario::SubmitRandomJob() -> std::string {
+  auto& time = cluster_.time();
   const auto tasks = static_cast<uint32_t>(time.Pick(1, 3));
   switch (time.Pick(0, 3)) {
     case 0:
-      return world_.SubmitLasting(tasks);
+      return cluster_.SubmitLongRunning(tasks);
     case 1:
-      return world_.SubmitFilling(tasks);
+      return cluster_.SubmitOpportunistic(tasks);
     case 2:
-      return world_.Submit({tasks, tasks});
+      return cluster_.Submit({tasks, tasks});
     default:
-      return world_.Submit({tasks});
+      return cluster_.Submit({tasks});
   }
 }
 
-auto CancelPlay::CancelLater(const std::string& job) -> void {
-  auto& time = world_.time();
-  cancel_asked_.insert(job);
+auto CancelScenario::CancelLater(const std::string& job) -> void {
+  auto& time = cluster_.time();
+  cancel_requested_.insert(job);
   const auto wait = time.Chance(0.5)   ? time.Milliseconds(0, 20)
                     : time.Chance(0.5) ? time.Milliseconds(20, 500)
                                        : time.Milliseconds(500, 8000);
-  const int first = AnyEntry();
-  const auto clients = static_cast<int>(time.Pick(1, world_.entries()));
+  const int first = RandomEntry();
+  const auto clients = static_cast<int>(time.Pick(1, cluster_.entries()));
   for (int client = 0; client < clients; ++client) {
-    const int entry = (first + client) % world_.entries();
+    const int entry = (first + client) % cluster_.entries();
     time.After(wait + time.Milliseconds(0, 10),
                [this, entry, job]() -> void { CancelAt(entry, job); });
   }
 }
 
-auto CancelPlay::CancelAt(int entry, const std::string& job) -> void {
-  auto& time = world_.time();
-  // Shared by the answer and the end of the wait, whichever comes first.
+auto CancelScenario::CancelAt(int entry, const std::string& job) -> void {
+  auto& time = cluster_.time();
+  // Shared by the answer and the timeout; the first of them sets it.
   const auto over = std::make_shared<bool>(false);
   const auto next = [this, entry, job]() -> void {
-    CancelAt((entry + 1) % world_.entries(), job);
+    CancelAt((entry + 1) % cluster_.entries(), job);
   };
-  world_.CallAt(
+  cluster_.CallAt(
       entry, JobCallKind::kCancel, job,
       [this, entry, job, over, next](const JobReply& reply) -> void {
         if (std::exchange(*over, true)) {
@@ -197,209 +202,217 @@
         const bool acknowledged = reply.verdict == JobVerdict::kCancelled ||
                                   reply.verdict == JobVerdict::kNoSuchJob;
         if (!acknowledged) {
-          world_.time().After(world_.time().Milliseconds(100, 1000), next);
+          cluster_.time().After(cluster_.time().Milliseconds(100, 1000), next);
           return;
         }
-        world_.Trace("ACKNOWLEDGED cancel of " + job + " by entry " +
-                     std::to_string(entry) + ": " + reply.text);
-        acknowledged_.emplace(job, world_.time().now());
+        cluster_.Trace("ACKNOWLEDGED cancel of " + job + " by entry " +
+                       std::to_string(entry) + ": " + reply.text);
+        acknowledged_.emplace(job, cluster_.time().now());
       });
-  time.After(kAskTimeout, [over, next]() -> void {
+  time.After(kAnswerTimeout, [over, next]() -> void {
     if (!std::exchange(*over, true)) {
       next();
     }
   });
 }
 
-auto CancelPlay::InjectFault() -> void {
-  auto& time = world_.time();
-  const int entry = AnyEntry();
+auto CancelScenario::InjectFault() -> void {
+  auto& time = cluster_.time();
+  const int entry = RandomEntry();
   const auto agent =
-      static_cast<int>(time.Pick(0, std::ssize(world_.Agents()) - 1));
+      static_cast<int>(time.Pick(0, std::ssize(cluster_.Agents()) - 1));
   const auto span = time.Milliseconds(300, 9000);
   const auto fault = time.Pick(0, kFaults - 1);
   const std::string client = "entry-" + std::to_string(entry);
-  disturbed_at_ = time.now();
-  if (fault <= kLastPlainFault) {
-    MakeFault(world_, fault, {entry, agent, span});
+  last_fault_at_ = time.now();
+  if (fault <= kLastCommonFault) {
+    ApplyFault(cluster_, fault, {entry, agent, span});
     return;
   }
-  world_.Trace("FAULT " + std::to_string(fault) + " " + client + " ms " +
-               std::to_string(span.count()));
+  cluster_.Trace("FAULT " + std::to_string(fault) + " " + client + " ms " +
+                 std::to_string(span.count()));
   switch (fault) {
-    case kSilentReads:
-      SilenceReads(entry);
+    case kUnansweredReads:
+      StopReads(entry);
       break;
     case kSlowReads:
-      blind_.insert(entry);
-      world_.log().SetBandwidthFor(
+      not_reading_.insert(entry);
+      cluster_.log().SetBandwidthFor(
           client, static_cast<std::size_t>(
-                      time.Pick(kSlowestReads, kFastestSlowReads)));
+                      time.Pick(kMinSlowBandwidth, kMaxSlowBandwidth)));
       break;
     case kLateAppends:
-      world_.log().LoseAnswers(kMostAnswersLost);
+      cluster_.log().LoseAnswers(kLostAnswersShare);
       break;
     case kHeldAppends:
-      world_.log().SetModeFor(client, VirtualLog::Mode::kHolds);
+      cluster_.log().SetModeFor(client, VirtualLog::Mode::kHoldsAppends);
       break;
-    case kBlindOwner:
-      BlindOwner();
+    case kOwnerCannotRead:
+      StopOwnerReads();
       break;
     default:
-      CutOwnerOff(span);
+      CutOwnerLinks(span);
   }
 }
 
-auto CancelPlay::SilenceReads(int entry) -> void {
-  blind_.insert(entry);
-  world_.log().SetModeFor("entry-" + std::to_string(entry),
-                          VirtualLog::Mode::kReadsSilent);
+auto CancelScenario::StopReads(int entry) -> void {
+  not_reading_.insert(entry);
+  cluster_.log().SetModeFor("entry-" + std::to_string(entry),
+                            VirtualLog::Mode::kReadsUnanswered);
 }
 
-auto CancelPlay::BlindOwner() -> void {
+auto CancelScenario::StopOwnerReads() -> void {
   Heal();
-  SilenceReads(std::max(world_.Owner(), 0));
-  for (int jobs = 0; jobs < kJobsOfBlindOwner; ++jobs) {
-    CancelLater(SubmitAny());
-    world_.RunFor(world_.time().Milliseconds(500, 2500));
+  StopReads(std::max(cluster_.Owner(), 0));
+  for (int jobs = 0; jobs < kJobsWhileOwnerCannotRead; ++jobs) {
+    CancelLater(SubmitRandomJob());
+    cluster_.RunFor(cluster_.time().Milliseconds(500, 2500));
   }
 }
 
-auto CancelPlay::CutOwnerOff(milliseconds span) -> void {
-  const int owner = std::max(world_.Owner(), 0);
-  for (const int agent : world_.Agents()) {
-    if (world_.time().Chance(0.6)) {
-      world_.CutLink(owner, agent, span);
+auto CancelScenario::CutOwnerLinks(milliseconds span) -> void {
+  const int owner = std::max(cluster_.Owner(), 0);
+  for (const int agent : cluster_.Agents()) {
+    if (cluster_.time().Chance(0.6)) {
+      cluster_.CutLink(owner, agent, span);
     }
   }
 }
 
-auto CancelPlay::Heal() -> void {
-  if (Disturbed()) {
-    disturbed_at_ = world_.time().now();
+auto CancelScenario::Heal() -> void {
+  if (HasFault()) {
+    last_fault_at_ = cluster_.time().now();
   }
-  blind_.clear();
-  world_.HealAll();
+  not_reading_.clear();
+  cluster_.HealAll();
 }
 
-auto CancelPlay::AskAny() -> void {
+auto CancelScenario::QueryRandomJob() -> void {
   std::vector<std::string> jobs;
   for (const auto& [job, since] : accepted_) {
-    if (!cancel_asked_.contains(job) &&
-        world_.time().now() - since < kAskedFor) {
+    if (!cancel_requested_.contains(job) &&
+        cluster_.time().now() - since < kQueryPeriod) {
       jobs.push_back(job);
     }
   }
   if (!jobs.empty()) {
-    const auto pick = world_.time().Pick(0, std::ssize(jobs) - 1);
-    Ask(AnyEntry(), jobs[static_cast<std::size_t>(pick)]);
+    const auto pick = cluster_.time().Pick(0, std::ssize(jobs) - 1);
+    Query(RandomEntry(), jobs[static_cast<std::size_t>(pick)]);
   }
 }
 
-auto CancelPlay::Ask(int entry, const std::string& job) -> void {
-  const bool seen_long = world_.time().now() - accepted_.at(job) >= kVisible;
-  world_.CallAt(
+auto CancelScenario::Query(int entry, const std::string& job) -> void {
+  const bool must_be_visible =
+      cluster_.time().now() - accepted_.at(job) >= kVisibleWithin;
+  cluster_.CallAt(
       entry, JobCallKind::kQuery, job,
-      [this, entry, job, seen_long](const JobReply& reply) -> void {
+      [this, entry, job, must_be_visible](const JobReply& reply) -> void {
         const bool cancelled =
             reply.verdict == JobVerdict::kState && reply.state == JOB_CANCELLED;
-        const bool none = reply.verdict == JobVerdict::kNoSuchJob && seen_long;
-        if (cancelled || none) {
-          Problem(job + " is accepted and was not cancelled, and entry " +
-                  std::to_string(entry) + " says that it is " +
-                  (none ? "not there" : "cancelled"));
+        const bool not_found =
+            reply.verdict == JobVerdict::kNoSuchJob && must_be_visible;
+        if (cancelled || not_found) {
+          ReportProblem(job + " is accepted and was not cancelled, but entry " +
+                        std::to_string(entry) + " reports it as " +
+                        (not_found ? "unknown" : "cancelled"));
         }
       });
 }
 
-auto CancelPlay::Look() -> void {
-  auto& time = world_.time();
-  if (Disturbed()) {
-    disturbed_at_ = time.now();
+auto CancelScenario::CheckPeriodically() -> void {
+  auto& time = cluster_.time();
+  if (HasFault()) {
+    last_fault_at_ = time.now();
   }
-  for (const auto& job : world_.accepted()) {
+  for (const auto& job : cluster_.accepted()) {
     accepted_.emplace(job, time.now());
   }
   CheckRuns();
-  AskAny();
-  time.After(kLook, [this]() -> void { Look(); });
+  QueryRandomJob();
+  time.After(kCheckInterval, [this]() -> void { CheckPeriodically(); });
 }
 
-auto CancelPlay::CheckRuns() -> void {
-  if (!CalmFor(kContact + kStops)) {
+auto CancelScenario::CheckRuns() -> void {
+  if (!IsStableFor(kFaultGracePeriod + kMaxStopTime)) {
     return;
   }
   for (const auto& task : started_) {
     const auto found = acknowledged_.find(task.substr(0, task.find('.')));
-    const bool is_over =
-        found != acknowledged_.end() &&
-        world_.time().now() - found->second > kCancelHolds + kStops;
-    if (is_over && world_.RunsAnywhere(task) && told_.insert(task).second) {
-      Problem(task + " runs on, long after its job's cancel was acknowledged");
+    const bool must_have_ended = found != acknowledged_.end() &&
+                                 cluster_.time().now() - found->second >
+                                     kCancelEffectiveWithin + kMaxStopTime;
+    if (must_have_ended && cluster_.RunsAnywhere(task) &&
+        reported_.insert(task).second) {
+      ReportProblem(
+          task +
+          " still runs long after the cancel of its job was acknowledged");
     }
   }
 }
 
-auto CancelPlay::CheckStates() -> void {
+auto CancelScenario::CheckStates() -> void {
   for (const auto& [job, since] : acknowledged_) {
-    for (int entry = 0; entry < world_.entries(); ++entry) {
-      const auto state = world_.StateOf(entry, job);
+    for (int entry = 0; entry < cluster_.entries(); ++entry) {
+      const auto state = cluster_.StateOf(entry, job);
       if (state && *state < JOB_COMPLETED) {
-        Problem(job + " is " + JobState_Name(*state) + " at entry " +
-                std::to_string(entry) + ", and its cancel was acknowledged");
+        ReportProblem(job + " is " + JobState_Name(*state) + " at entry " +
+                      std::to_string(entry) +
+                      ", although its cancel was acknowledged");
       }
     }
   }
-  for (const auto& job : cancel_asked_) {
+  for (const auto& job : cancel_requested_) {
     if (!acknowledged_.contains(job)) {
-      Problem("nobody has acknowledged the cancel of " + job);
+      ReportProblem("no entry has acknowledged the cancel of " + job);
     }
   }
 }
 
-auto CancelPlay::OnStart(const TaskName& task) -> void {
+auto CancelScenario::OnStart(const TaskName& task) -> void {
   started_.insert(DescribeTask(task));
   const auto found = acknowledged_.find(task.job());
-  const bool is_late = found != acknowledged_.end() &&
-                       world_.time().now() - found->second > kCancelHolds;
-  if (is_late && CalmFor(kContact)) {
-    Problem(DescribeTask(task) +
-            " starts long after its job's cancel was acknowledged");
+  const bool is_late =
+      found != acknowledged_.end() &&
+      cluster_.time().now() - found->second > kCancelEffectiveWithin;
+  if (is_late && IsStableFor(kFaultGracePeriod)) {
+    ReportProblem(DescribeTask(task) +
+                  " starts long after the cancel of its job was acknowledged");
   }
 }
 
-auto CancelPlay::Disturbed() const -> bool {
-  return world_.DisturbedBeyondReads() || std::ssize(blind_) > kMostBlind;
+auto CancelScenario::HasFault() const -> bool {
+  return cluster_.HasFaultBeyondReads() ||
+         std::ssize(not_reading_) > kMaxEntriesNotReading;
 }
 
-auto CancelPlay::CalmFor(milliseconds span) -> bool {
-  return !Disturbed() && world_.time().now() - disturbed_at_ >= span;
+auto CancelScenario::IsStableFor(milliseconds span) -> bool {
+  return !HasFault() && cluster_.time().now() - last_fault_at_ >= span;
 }
 
-auto CancelPlay::Problem(const std::string& text) -> void {
+auto CancelScenario::ReportProblem(const std::string& text) -> void {
   const auto now = std::chrono::duration_cast<milliseconds>(
-      world_.time().now().time_since_epoch());
-  world_.Trace("PROBLEM " + text);
+      cluster_.time().now().time_since_epoch());
+  cluster_.Trace("PROBLEM " + text);
   problems_.push_back(std::to_string(now.count()) + " ms: " + text);
 }
 
-auto CancelPlay::problems() const -> std::vector<std::string> {
+auto CancelScenario::problems() const -> std::vector<std::string> {
   auto all = problems_;
-  all.insert(all.end(), world_.problems().begin(), world_.problems().end());
+  all.insert(all.end(), cluster_.problems().begin(), cluster_.problems().end());
   return all;
 }
 
 class CancelExplorerTest : public testing::TestWithParam<uint64_t> {};
 
 TEST_P(CancelExplorerTest, AcknowledgedCancelsHoldWhateverFails) {
-  CancelPlay play(GetParam());
-  play.Run();
-  for (const auto& problem : play.problems()) {
+  CancelScenario scenario(GetParam());
+  scenario.Run();
+  for (const auto& problem : scenario.problems()) {
     ADD_FAILURE() << problem;
   }
-  EXPECT_GE(play.world().Owner(), 0);
-  EXPECT_FALSE(play.world().accepted().empty());
-  EXPECT_GT(play.cancelled(), 0U);
+  EXPECT_GE(scenario.cluster().Owner(), 0);
+  EXPECT_FALSE(scenario.cluster().accepted().empty());
+  EXPECT_GT(scenario.cancelled(), 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, CancelExplorerTest, ExplorerSeeds(60));
--- a/Tests/Jobs/entry_decisions_fixture.h
+++ b/Tests/Jobs/entry_decisions_fixture.h
@@ -18,12 +18,12 @@
 inline constexpr char kQueueHost[] = "queue.example";
 inline constexpr char kQueuePrefix[] = "/jobs/";
 inline constexpr char kEvacuationKey[] = "key of an evacuation";
-// More than the log of any test has.
-inline constexpr uint64_t kMostRecords = 1000;
-// Place behind the log's last record.
+// More records than the log of any test has.
+inline constexpr uint64_t kMaxRecords = 1000;
+// Offset after the last record of the log.
 inline constexpr uint64_t kEnd = 9;
 
-// An entry whose calls to the log are kept until the test answers them.
+// An entry whose calls to the log are held until the test answers them.
 class EntryDecisionsTest : public testing::Test {
  protected:
   EntryDecisionsTest() : entry_({kEntryName, 1}, Hooks(), &metrics_) {
@@ -38,7 +38,7 @@
       on_append_.push_back(done);
     };
     hooks.log.read = [this](const ReadCall& call, const auto& done) {
-      if (call.from > kMostRecords) {
+      if (call.from > kMaxRecords) {
         on_end_read_ = done;
       } else {
         on_read_[call.topic] = done;
@@ -75,7 +75,7 @@
     return configuration;
   }
 
-  // The operators' log: whole, with these records.
+  // Answers with the complete log of the operators, which has these records.
   auto AnswerOperators(std::vector<KeyedRecord> records) -> void {
     NewestResult newest;
     newest.answered = true;
@@ -99,7 +99,7 @@
     std::exchange(on_newest_[LogTopic::kJobs], nullptr)(now_, result);
   }
 
-  // Without records: all that there is came with the newest ones.
+  // Without records, the newest records were all that the log has.
   auto AnswerRead(ReadOutcome outcome, std::vector<KeyedRecord> records = {})
       -> void {
     ReadResult result;
@@ -110,7 +110,8 @@
     std::exchange(on_read_[LogTopic::kJobs], nullptr)(now_, result);
   }
 
-  // Of a read that asks for the log's end only, if there is one.
+  // Answers a read that asks only for the end of the log. Returns whether there
+  // was one.
   auto AnswerEndRead(ReadOutcome outcome, uint64_t end) -> bool {
     const auto done = std::exchange(on_end_read_, nullptr);
     if (done != nullptr) {
@@ -128,12 +129,12 @@
     }
   }
 
-  auto Pass(std::chrono::milliseconds span) -> void {
+  auto AdvanceTime(std::chrono::milliseconds span) -> void {
     now_ += span;
     entry_.Tick(now_);
   }
 
-  // The newest record of the kind that the entry has appended.
+  // The newest record of this kind that the entry has appended.
   auto Appended(RecordKind kind) const -> std::optional<KeyedRecord> {
     for (auto record = appended_.rbegin(); record != appended_.rend();
          ++record) {
--- a/Tests/Jobs/entry_decisions_test.cc
+++ b/Tests/Jobs/entry_decisions_test.cc
@@ -1,4 +1,5 @@
-// What an entry decides from the log's answers, whose order the test sets.
+// Tests what an entry decides from the answers of the log, whose order each
+// test sets.
 
 #include <gtest/gtest.h>
 
@@ -16,21 +17,21 @@
 
 constexpr milliseconds kRenewal{600};
 
-// Symptom: a task starts again after its end was noted. Sequence: an entry
-// claims the cell; before it reads its claim the log forgets its history, and
-// the entry takes the newest records anew; the claim is on the first page, jobs
-// and their progress on the next ones. Cause: the entry began as the owner on
-// what it had read so far.
-TEST_F(EntryDecisionsTest, BeginsAsOwnerOnlyOnAFoldThatIsWhole) {
+// Guards against a task that starts again after its end was recorded. An entry
+// claims the cell; before it reads its claim, the history of the log is
+// compacted, and the entry reads the newest records again, with the claim on
+// the first page and jobs and their progress on later ones. The entry became
+// the owner on the part of the records that it had read.
+TEST_F(EntryDecisionsTest, BecomesOwnerOnlyWithACompleteFold) {
   AnswerOperators({});
   AnswerNewest({}, /*more=*/false);
   AnswerRead(ReadOutcome::kRecords);
-  Pass(milliseconds(0));
+  AdvanceTime(milliseconds(0));
   ASSERT_TRUE(Appended(RecordKind::kClaim).has_value());
   AnswerRead(ReadOutcome::kGone);
   AnswerAppends();
   AnswerNewest({*Appended(RecordKind::kClaim)}, /*more=*/true);
-  Pass(kRenewal);
+  AdvanceTime(kRenewal);
   AnswerAppends();
   EXPECT_FALSE(entry_.owner().active());
   AnswerNewest({}, /*more=*/false);
@@ -39,23 +40,23 @@
 }
 
 // Guards against an owner that starts tasks in a failure domain whose
-// evacuation it has not read yet, and against a claim that keeps out those who
-// have.
-TEST_F(EntryDecisionsTest, ClaimsOnlyOnceItKnowsTheOperatorsRecords) {
+// evacuation it has not read yet, and against a claim that keeps out entries
+// that have read it.
+TEST_F(EntryDecisionsTest, ClaimsOnlyAfterReadingTheOperatorsRecords) {
   AnswerNewest({}, /*more=*/false);
   AnswerRead(ReadOutcome::kRecords);
-  Pass(milliseconds(0));
+  AdvanceTime(milliseconds(0));
   EXPECT_FALSE(Appended(RecordKind::kClaim).has_value());
   AnswerOperators({{kEvacuationKey, "{}", 0}});
-  Pass(milliseconds(100));
+  AdvanceTime(milliseconds(100));
   EXPECT_TRUE(Appended(RecordKind::kClaim).has_value());
   EXPECT_NE(metrics_.Exposition().find("rhubarbhaven_evacuated_domains 1"),
             std::string::npos);
 }
 
-// Guards against a claim that is stored although its grounds are gone, since
-// the operators' log cannot be read at that moment.
-TEST_F(EntryDecisionsTest, WithdrawsAClaimWhateverItKnowsOfTheOperators) {
+// Guards against a claim that stays in the log although its reason no longer
+// holds, because the log of the operators cannot be read at that moment.
+TEST_F(EntryDecisionsTest, WithdrawsAClaimWhileTheOperatorsLogIsUnreadable) {
   AnswerOperators({});
   OwnerClaim claim;
   claim.set_owner("other");
@@ -67,7 +68,7 @@
     if (on_read_[LogTopic::kOperators] != nullptr) {
       AnswerOperatorsRead();
     }
-    Pass(milliseconds(250));
+    AdvanceTime(milliseconds(250));
   }
   ASSERT_EQ(entry_.fence(), 4U);
   for (const auto& done : std::exchange(on_append_, {})) {
@@ -78,24 +79,26 @@
   record.offset = kEnd;
   now_ += milliseconds(2500);
   AnswerRead(ReadOutcome::kRecords, {record});
-  Pass(milliseconds(1));
+  AdvanceTime(milliseconds(1));
   EXPECT_EQ(entry_.fence(), 0U);
 }
 
 struct StartCase {
   std::string name;
-  // Of the newest claim that the entry finds; none if it is empty.
+  // Owner of the newest claim that the entry finds; empty if there is no claim.
   std::string owner;
-  // Up to which fence it says that it grants nothing; zero if it says nothing.
+  // The fence up to which the entry declares that it grants nothing; zero if it
+  // declares nothing.
   uint64_t resigned = 0;
 };
 
 class StartTest : public EntryDecisionsTest,
                   public testing::WithParamInterface<StartCase> {};
 
-// An entry that starts anew beside another's claim may be the one that claim
-// replaced. After its own claim it claims again, and need not say so.
-TEST_P(StartTest, SaysThatItIsNoOwnerOfAnothersClaim) {
+// An entry that restarts and finds the claim of another entry may be the owner
+// that this claim replaced. If it finds its own claim, it claims again and need
+// not resign.
+TEST_P(StartTest, ResignsOnlyIfAnotherEntryHoldsTheClaim) {
   std::vector<KeyedRecord> records;
   if (!GetParam().owner.empty()) {
     OwnerClaim claim;
@@ -106,7 +109,7 @@
   }
   AnswerNewest(records, /*more=*/false);
   AnswerRead(ReadOutcome::kRecords);
-  Pass(milliseconds(0));
+  AdvanceTime(milliseconds(0));
   const auto record = Appended(RecordKind::kResignation);
   ASSERT_EQ(record.has_value(), GetParam().resigned != 0);
   if (record) {
@@ -125,9 +128,9 @@
                                                    3}),
                          [](const auto& info) { return info.param.name; });
 
-// Symptom: as of an owner that says nothing. Sequence: the log refuses the
-// append. Why not here: the word is kept and written again.
-TEST_F(EntryDecisionsTest, WordThatTheLogRefusedIsWrittenAgain) {
+// Guards against an owner that does not declare its resignation because the log
+// rejected the append. The record is kept and appended again.
+TEST_F(EntryDecisionsTest, RejectedResignationIsRetried) {
   OwnerClaim claim;
   claim.set_owner("other");
   claim.set_fence(3);
@@ -138,7 +141,7 @@
     done(now_, {AppendOutcome::kRejected, 0});
   }
   appended_.clear();
-  Pass(milliseconds(1000));
+  AdvanceTime(milliseconds(1000));
   EXPECT_TRUE(Appended(RecordKind::kResignation).has_value());
 }
 
--- a/Tests/Jobs/explorer_faults.cc
+++ b/Tests/Jobs/explorer_faults.cc
@@ -7,61 +7,62 @@
 
 using std::chrono::milliseconds;
 
-auto MakeFault(JobWorld& world, int64_t fault, const FaultPlace& place)
-    -> void {
-  auto& time = world.time();
-  const auto [entry, agent, span] = place;
-  world.Trace("FAULT " + std::to_string(fault) + " entry " +
-              std::to_string(entry) + " agent " + std::to_string(agent) +
-              " ms " + std::to_string(span.count()));
+auto ApplyFault(SimulatedCluster& cluster,
+                int64_t fault,
+                const FaultTarget& target) -> void {
+  auto& time = cluster.time();
+  const auto [entry, agent, span] = target;
+  cluster.Trace("FAULT " + std::to_string(fault) + " entry " +
+                std::to_string(entry) + " agent " + std::to_string(agent) +
+                " ms " + std::to_string(span.count()));
   switch (fault) {
     case 0:
-      world.KillEntry(entry, time.Milliseconds(200, 4000));
+      cluster.KillEntry(entry, time.Milliseconds(200, 4000));
       break;
     case 1:
-      world.KillAgent(agent, time.Milliseconds(200, 8000));
+      cluster.KillAgent(agent, time.Milliseconds(200, 8000));
       break;
     case 2:
-      world.FreezeEntry(entry, span);
+      cluster.FreezeEntry(entry, span);
       break;
     case 3:
-      world.FreezeAgent(agent, span);
+      cluster.FreezeAgent(agent, span);
       break;
     case 4:
-      world.CutLink(entry, agent, span);
+      cluster.CutLink(entry, agent, span);
       break;
     case 5:
-      for (int number = 0; number < world.entries(); ++number) {
-        world.CutLink(number, agent, span);
+      for (int number = 0; number < cluster.entries(); ++number) {
+        cluster.CutLink(number, agent, span);
       }
       break;
     case 6:
-      world.log().SetMode(VirtualLog::Mode::kRefuses);
+      cluster.log().SetMode(VirtualLog::Mode::kRejects);
       break;
     case 7:
-      world.log().SetModeFor("entry-" + std::to_string(entry),
-                             VirtualLog::Mode::kSilent);
+      cluster.log().SetModeFor("entry-" + std::to_string(entry),
+                               VirtualLog::Mode::kUnresponsive);
       break;
     case 8:
-      world.log().LoseAnswers(0.3);
+      cluster.log().LoseAnswers(0.3);
       break;
     case 9:
-      world.log().Compact();
+      cluster.log().Compact();
       break;
     case 10:
-      world.log().SetLatency(milliseconds(240));
+      cluster.log().SetLatency(milliseconds(240));
       break;
     case 11:
-      world.worker(agent).Crash();
+      cluster.worker(agent).Crash();
       break;
     case 12:
-      world.worker(agent).SetUnanswered(0.2);
+      cluster.worker(agent).SetUnanswered(0.2);
       break;
     case 13:
-      world.worker(agent).SetSilent(true);
+      cluster.worker(agent).SetUnresponsive(true);
       break;
     default:
-      world.StopEntry(entry);
+      cluster.StopEntry(entry);
   }
 }
 
--- a/Tests/Jobs/explorer_faults.h
+++ b/Tests/Jobs/explorer_faults.h
@@ -5,24 +5,28 @@
 
 #include <gtest/gtest.h>
 
-#include "Tests/Jobs/job_world.h"
+#include "Tests/Jobs/simulated_cluster.h"
 
 namespace rhubarbhaven::jobs {
 
-// Faults 0 to this one strike what is there; none adds or removes agents.
-constexpr int64_t kLastPlainFault = 14;
+// Faults from 0 to this one affect existing processes and the log; none of them
+// adds or removes agents.
+constexpr int64_t kLastCommonFault = 14;
 
-// Where and for how long a fault strikes.
-struct FaultPlace {
+// Which processes a fault affects, and for how long.
+struct FaultTarget {
   int entry = 0;
   int agent = 0;
   std::chrono::milliseconds span{0};
 };
 
-// Makes the fault of this number, and says so in the trace.
-auto MakeFault(JobWorld& world, int64_t fault, const FaultPlace& place) -> void;
+// Injects the fault with this number and traces it.
+auto ApplyFault(SimulatedCluster& cluster,
+                int64_t fault,
+                const FaultTarget& target) -> void;
 
-// Seeds from EXPLORER_FIRST on, EXPLORER_COUNT of them; else 1 to `count`.
+// Seeds from EXPLORER_FIRST on, EXPLORER_COUNT of them; by default from 1 to
+// `count`.
 auto ExplorerSeeds(uint64_t count)
     -> testing::internal::ParamGenerator<uint64_t>;
 
--- a/Tests/Jobs/explorer_test.cc
+++ b/Tests/Jobs/explorer_test.cc
@@ -1,9 +1,9 @@
-// Random orders of events and faults over virtual time.
+// Explores random orders of events and faults in virtual time.
 //
-// Symptom watched for: a task that runs in two places or again after its end,
-// an accepted job that never completes. The faults come in series and overlap:
-// processes killed and frozen, links cut, the log away, slow, forgetful or
-// losing answers, workers crashed, silent, or carrying orders out late.
+// Checks that no task runs in two places or again after its end, and that every
+// accepted job completes. The faults come in series and overlap: processes are
+// killed and frozen, links are cut, the log is unreachable, slow, compacted or
+// loses answers, and workers crash, do not answer, or carry out orders late.
 
 #include <gtest/gtest.h>
 
@@ -17,55 +17,56 @@
 
 using std::chrono::seconds;
 
-auto InjectFault(JobWorld& world, const JobWorldOptions& options) -> void {
-  auto& time = world.time();
+auto InjectFault(SimulatedCluster& cluster,
+                 const SimulatedClusterOptions& options) -> void {
+  auto& time = cluster.time();
   const auto entry = static_cast<int>(time.Pick(0, options.entries - 1));
   const auto agent = static_cast<int>(time.Pick(0, options.agents - 1));
   const auto span = time.Milliseconds(300, 9000);
-  const auto fault = time.Pick(0, kLastPlainFault);
-  MakeFault(world, fault, {entry, agent, span});
+  const auto fault = time.Pick(0, kLastCommonFault);
+  ApplyFault(cluster, fault, {entry, agent, span});
 }
 
-// Seeds that once showed a fault come first, with their cause.
+// Seeds that once showed a fault are listed below, with their causes.
 class ExplorerTest : public testing::TestWithParam<uint64_t> {};
 
 TEST_P(ExplorerTest, EveryJobRunsOnceWhateverFails) {
-  JobWorldOptions options;
+  SimulatedClusterOptions options;
   options.seed = GetParam();
   options.failing_runs = 0.1;
-  JobWorld world(options);
-  world.RunFor(seconds(4));
+  SimulatedCluster cluster(options);
+  cluster.RunFor(seconds(4));
   for (int round = 0; round < 12; ++round) {
-    world.Submit({static_cast<uint32_t>(world.time().Pick(1, 5)),
-                  static_cast<uint32_t>(world.time().Pick(1, 4))});
-    InjectFault(world, options);
-    if (world.time().Chance(0.5)) {
-      InjectFault(world, options);
+    cluster.Submit({static_cast<uint32_t>(cluster.time().Pick(1, 5)),
+                    static_cast<uint32_t>(cluster.time().Pick(1, 4))});
+    InjectFault(cluster, options);
+    if (cluster.time().Chance(0.5)) {
+      InjectFault(cluster, options);
     }
-    world.RunFor(world.time().Milliseconds(200, 4000));
-    if (world.time().Chance(0.4)) {
-      world.HealAll();
+    cluster.RunFor(cluster.time().Milliseconds(200, 4000));
+    if (cluster.time().Chance(0.4)) {
+      cluster.HealAll();
     }
   }
-  world.HealAll();
-  world.RunFor(seconds(90));
-  world.CheckCompleted();
-  for (const auto& problem : world.problems()) {
+  cluster.HealAll();
+  cluster.RunFor(seconds(90));
+  cluster.CheckCompleted();
+  for (const auto& problem : cluster.problems()) {
     ADD_FAILURE() << problem;
   }
-  EXPECT_GE(world.Owner(), 0);
-  EXPECT_FALSE(world.accepted().empty());
-  for (const auto& job : world.accepted()) {
+  EXPECT_GE(cluster.Owner(), 0);
+  EXPECT_FALSE(cluster.accepted().empty());
+  for (const auto& job : cluster.accepted()) {
     for (int entry = 0; entry < options.entries; ++entry) {
-      EXPECT_EQ(world.StateOf(entry, job), JOB_COMPLETED)
+      EXPECT_EQ(cluster.StateOf(entry, job), JOB_COMPLETED)
           << "entry " << entry << " job " << job;
     }
   }
 }
 
-// A record of another writer, beside those of entries and agents.
-auto StrangeRecord(JobWorld& world) -> KeyedRecord {
-  auto& time = world.time();
+// A record of another writer, besides those of entries and agents.
+auto ForeignRecord(SimulatedCluster& cluster) -> KeyedRecord {
+  auto& time = cluster.time();
   const std::string name = "ghost-" + std::to_string(time.Pick(0, 5));
   AgentEntry entry;
   entry.set_name(time.Chance(0.5) ? name : "agent-0");
@@ -74,7 +75,7 @@
   ends.set_worker_id("agent-0-life-1");
   ends.set_last_end(1000);
   const std::string job =
-      world.accepted().empty() ? name : *world.accepted().begin();
+      cluster.accepted().empty() ? name : *cluster.accepted().begin();
   switch (time.Pick(0, 5)) {
     case 0:
       return MakeRecord(RecordKind::kAgent, name, entry);
@@ -91,35 +92,35 @@
   }
 }
 
-// Symptom watched for: as above, and a job that another writer's record holds
-// up or cancels.
+// Checks the same, and that no record of another writer delays or cancels a
+// job.
 class StrangeRecordsTest : public testing::TestWithParam<uint64_t> {};
 
 TEST_P(StrangeRecordsTest, EveryJobRunsOnceBesideAnotherWriter) {
-  JobWorldOptions options;
+  SimulatedClusterOptions options;
   options.seed = GetParam();
-  JobWorld world(options);
-  world.RunFor(seconds(4));
+  SimulatedCluster cluster(options);
+  cluster.RunFor(seconds(4));
   for (int round = 0; round < 8; ++round) {
-    world.Submit({static_cast<uint32_t>(world.time().Pick(1, 5)), 2});
+    cluster.Submit({static_cast<uint32_t>(cluster.time().Pick(1, 5)), 2});
     for (int record = 0; record < 4; ++record) {
-      world.log().Put(LogTopic::kJobs, StrangeRecord(world));
-      world.RunFor(world.time().Milliseconds(20, 300));
+      cluster.log().Put(LogTopic::kJobs, ForeignRecord(cluster));
+      cluster.RunFor(cluster.time().Milliseconds(20, 300));
     }
-    InjectFault(world, options);
-    world.RunFor(world.time().Milliseconds(200, 4000));
-    world.HealAll();
+    InjectFault(cluster, options);
+    cluster.RunFor(cluster.time().Milliseconds(200, 4000));
+    cluster.HealAll();
   }
-  world.RunFor(seconds(60));
-  world.CheckCompleted();
-  for (const auto& problem : world.problems()) {
+  cluster.RunFor(seconds(60));
+  cluster.CheckCompleted();
+  for (const auto& problem : cluster.problems()) {
     ADD_FAILURE() << problem;
   }
-  EXPECT_GE(world.Owner(), 0);
-  EXPECT_FALSE(world.accepted().empty());
-  for (const auto& job : world.accepted()) {
+  EXPECT_GE(cluster.Owner(), 0);
+  EXPECT_FALSE(cluster.accepted().empty());
+  for (const auto& job : cluster.accepted()) {
     for (int entry = 0; entry < options.entries; ++entry) {
-      EXPECT_EQ(world.StateOf(entry, job), JOB_COMPLETED)
+      EXPECT_EQ(cluster.StateOf(entry, job), JOB_COMPLETED)
           << "entry " << entry << " job " << job;
     }
   }
@@ -131,26 +132,28 @@
 
 struct ServicesCase {
   std::string name;
-  // As the configuration lists them; the queue and the workers say "service".
+  // Services that the configuration lists; the queue and the workers use
+  // "service".
   std::vector<std::string> services;
   bool completes = false;
 };
 
 class ServicesTest : public testing::TestWithParam<ServicesCase> {};
 
-// Symptom: a task at a worker whose service the configuration does not name.
-// Cause: only the names of the queue's service and the worker's were compared.
+// Guards against a task that runs on a worker whose service the configuration
+// does not list. Only the service names of the queue and the worker were
+// compared.
 TEST_P(ServicesTest, OnlyWorkersOfNamedServicesAreUsed) {
-  JobWorldOptions options;
+  SimulatedClusterOptions options;
   options.services = GetParam().services;
-  JobWorld world(options);
-  world.RunFor(seconds(4));
-  const auto job = world.Submit({2});
-  world.RunFor(seconds(20));
-  ASSERT_TRUE(world.accepted().contains(job));
-  EXPECT_EQ(world.StateOf(0, job),
+  SimulatedCluster cluster(options);
+  cluster.RunFor(seconds(4));
+  const auto job = cluster.Submit({2});
+  cluster.RunFor(seconds(20));
+  ASSERT_TRUE(cluster.accepted().contains(job));
+  EXPECT_EQ(cluster.StateOf(0, job),
             GetParam().completes ? JOB_COMPLETED : JOB_QUEUED);
-  EXPECT_EQ(world.starts() > 0, GetParam().completes);
+  EXPECT_EQ(cluster.starts() > 0, GetParam().completes);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -158,33 +161,35 @@
     ServicesTest,
     testing::Values(ServicesCase{"named", {"other", "service"}, true},
                     ServicesCase{"not_named", {"other"}, false},
-                    // A configuration that lists none says nothing of them.
+                    // A configuration without a list does not restrict the
+                    // services.
                     ServicesCase{"no_list", {}, true},
                     ServicesCase{"list_without_names", {""}, true}),
     [](const auto& info) { return info.param.name; });
 
 INSTANTIATE_TEST_SUITE_P(Seeds, ExplorerTest, ExplorerSeeds(150));
 
-// Seeds that once showed a fault.
+// Regression seeds, which once showed a fault.
 INSTANTIATE_TEST_SUITE_P(
-    Kept,
+    Regressions,
     ExplorerTest,
     testing::Values(
-        // An agent without a worker's heartbeat named no worker, and the owner
-        // took its runs for lost.
+        // An agent that had received no heartbeat of its worker named no
+        // worker, and the owner declared its runs lost.
         12,
         14,
         29,
-        // An entry refused callers for good after one refusal by the log.
+        // An entry rejected all calls for good after the log had rejected one
+        // append.
         166,
-        // An owner began on a fold that lacked records.
+        // An entry became the owner on a fold that lacked records.
         327,
         754,
         764,
-        // A restarted agent refused a start that had been carried out.
+        // A restarted agent rejected a start that had been carried out.
         1000,
-        // A silent worker's old listing was told again after its runs had been
-        // taken for lost.
+        // An old listing of an unresponsive worker was reported again after its
+        // runs had been declared lost.
         3203));
 
 }  // namespace
--- a/Tests/Jobs/filling_explorer_test.cc
+++ b/Tests/Jobs/filling_explorer_test.cc
@@ -1,9 +1,9 @@
-// Random orders of events and faults over virtual time, with tasks that fill
-// and are moved when their worker slows them.
+// Explores random orders of events and faults in virtual time, with
+// opportunistic tasks that are moved when their worker slows them.
 //
-// Symptom watched for: a task that runs in two places, or again after its end:
-// a move is a stop that is under way and a start that follows it, and workers
-// fall silent, crash or are lost, and owners change, between the two.
+// Checks that no task runs in two places or again after its end. A move is a
+// stop in progress followed by a start; between the two, workers become
+// unresponsive, crash or are lost, and owners change.
 
 #include <gtest/gtest.h>
 
@@ -15,55 +15,55 @@
 using std::chrono::seconds;
 
 constexpr int kRounds = 12;
-constexpr double kSlowingChance = 0.5;
+constexpr double kSlowedShare = 0.5;
 
-auto PlayRound(JobWorld& world) -> void {
-  auto& time = world.time();
-  world.SubmitFilling(static_cast<uint32_t>(time.Pick(1, 4)));
+auto RunRound(SimulatedCluster& cluster) -> void {
+  auto& time = cluster.time();
+  cluster.SubmitOpportunistic(static_cast<uint32_t>(time.Pick(1, 4)));
   if (time.Chance(0.5)) {
-    world.Submit({static_cast<uint32_t>(time.Pick(1, 3))});
+    cluster.Submit({static_cast<uint32_t>(time.Pick(1, 3))});
   }
-  for (const int agent : world.Agents()) {
-    world.worker(agent).SetSlowing(time.Chance(kSlowingChance));
+  for (const int agent : cluster.Agents()) {
+    cluster.worker(agent).SetSlowed(time.Chance(kSlowedShare));
   }
-  // Long enough for figures to settle and a move to begin.
-  world.RunFor(time.Milliseconds(500, 2500));
-  const auto agents = static_cast<int64_t>(world.Agents().size());
-  MakeFault(world, time.Pick(0, kLastPlainFault),
-            {static_cast<int>(time.Pick(0, world.entries() - 1)),
-             static_cast<int>(time.Pick(0, agents - 1)),
-             time.Milliseconds(300, 9000)});
-  world.RunFor(time.Milliseconds(100, 3000));
+  // Long enough for the speed measurements to settle and a move to begin.
+  cluster.RunFor(time.Milliseconds(500, 2500));
+  const auto agents = static_cast<int64_t>(cluster.Agents().size());
+  ApplyFault(cluster, time.Pick(0, kLastCommonFault),
+             {static_cast<int>(time.Pick(0, cluster.entries() - 1)),
+              static_cast<int>(time.Pick(0, agents - 1)),
+              time.Milliseconds(300, 9000)});
+  cluster.RunFor(time.Milliseconds(100, 3000));
   if (time.Chance(0.4)) {
-    world.HealAll();
+    cluster.HealAll();
   }
 }
 
 class FillingExplorerTest : public testing::TestWithParam<uint64_t> {};
 
 TEST_P(FillingExplorerTest, MovedTasksRunInOnePlace) {
-  JobWorldOptions options;
+  SimulatedClusterOptions options;
   options.seed = GetParam();
   options.failing_runs = 0.1;
   options.paced_registration = true;
   options.keep_order = true;
-  JobWorld world(options);
-  world.RunFor(seconds(4));
+  SimulatedCluster cluster(options);
+  cluster.RunFor(seconds(4));
   for (int round = 0; round < kRounds; ++round) {
-    PlayRound(world);
+    RunRound(cluster);
   }
-  world.HealAll();
-  for (const int agent : world.Agents()) {
-    world.worker(agent).SetSlowing(false);
+  cluster.HealAll();
+  for (const int agent : cluster.Agents()) {
+    cluster.worker(agent).SetSlowed(false);
   }
-  world.RunFor(seconds(90));
-  world.CheckCompleted();
-  world.CheckJobs();
-  for (const auto& problem : world.problems()) {
+  cluster.RunFor(seconds(90));
+  cluster.CheckCompleted();
+  cluster.CheckJobs();
+  for (const auto& problem : cluster.problems()) {
     ADD_FAILURE() << problem;
   }
-  EXPECT_GE(world.Owner(), 0);
-  EXPECT_FALSE(world.accepted().empty());
+  EXPECT_GE(cluster.Owner(), 0);
+  EXPECT_FALSE(cluster.accepted().empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FillingExplorerTest, ExplorerSeeds(60));
--- a/Tests/Jobs/keyed_log_follower_test.cc
+++ b/Tests/Jobs/keyed_log_follower_test.cc
@@ -73,7 +73,7 @@
   follower_.Start();
   RunFor(seconds(1));
   ASSERT_NE(follower_.caught_up_at(), TimePoint());
-  log_.SetModeFor(kReader, VirtualLog::Mode::kSilent);
+  log_.SetModeFor(kReader, VirtualLog::Mode::kUnresponsive);
   for (int record = 0; record < kBacklog; ++record) {
     Put();
   }
--- a/Tests/Jobs/silent_worker_test.cc
+++ b/Tests/Jobs/silent_worker_test.cc
@@ -1,13 +1,13 @@
-// Tasks of a worker that does not answer its agent, while the agent follows its
-// owner. The events are written out with their times, so that a test stays the
-// same sequence whatever else changes.
+// Tasks of a worker that does not answer its agent while the agent still
+// follows its owner. The events have fixed times, so that each test keeps its
+// sequence when other code changes.
 
 #include <gtest/gtest.h>
 
 #include <string>
 #include <tuple>
 
-#include "Tests/Jobs/job_world.h"
+#include "Tests/Jobs/simulated_cluster.h"
 
 namespace rhubarbhaven::jobs {
 namespace {
@@ -15,56 +15,57 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Before that an earlier process of the agent may have renewed the worker's
-// lease, for 10 s at most.
-constexpr seconds kWorkerIsKnown{12};
+// Before this time, an earlier process of the agent may have renewed the lease
+// of the worker, for 10 s at most.
+constexpr seconds kEarlierLeaseExpiry{12};
 constexpr uint32_t kTasks = 6;
-constexpr int kSilentWorker = 0;
+constexpr int kUnresponsiveWorker = 0;
 
-auto Options() -> JobWorldOptions {
-  JobWorldOptions options;
+auto Options() -> SimulatedClusterOptions {
+  SimulatedClusterOptions options;
   options.paced_registration = true;
   options.keep_order = true;
-  options.check_lasting = true;
+  options.check_long_running = true;
   return options;
 }
 
-auto ExpectNoProblems(const JobWorld& world) -> void {
-  for (const auto& problem : world.problems()) {
+auto ExpectNoProblems(const SimulatedCluster& cluster) -> void {
+  for (const auto& problem : cluster.problems()) {
     ADD_FAILURE() << problem;
   }
 }
 
-// When the tasks are handed in after the worker fell silent, and how long it is
-// silent: around the length of its lease.
-using Silence = std::tuple<milliseconds, milliseconds>;
+// When the tasks are submitted after the worker became unresponsive, and how
+// long it stays so: about the length of its lease.
+using UnresponsiveCase = std::tuple<milliseconds, milliseconds>;
 
-class SilenceTest : public testing::TestWithParam<Silence> {};
+class UnresponsiveWorkerTest : public testing::TestWithParam<UnresponsiveCase> {
+};
 
-// Symptom: a task runs in two places. Sequence: a worker falls silent; the
-// owner does not know it yet and starts tasks there; the calls get no answer
-// and are made again; the worker's lease runs out and its agent says so; the
-// worker answers again while a call is under way. Cause: the owner took the
-// starts without a result for lost with the lease and placed their tasks
-// elsewhere; the agent made the call once more, under a new lease, and the
-// worker carried it out.
-TEST_P(SilenceTest, StartsWithoutAResultRunInOnePlace) {
-  JobWorld world(Options());
-  world.RunFor(kWorkerIsKnown);
-  const auto [hand_in_after, span] = GetParam();
-  world.worker(kSilentWorker).SetSilent(true);
-  world.RunFor(hand_in_after);
-  world.SubmitLasting(kTasks);
-  world.RunFor(span - hand_in_after);
-  world.worker(kSilentWorker).SetSilent(false);
-  world.RunFor(seconds(30));
-  world.CheckJobs();
-  ExpectNoProblems(world);
+// Guards against a task that runs in two places. A worker becomes unresponsive;
+// the owner does not know it yet and starts tasks there; the calls get no
+// answer and are repeated; the lease of the worker expires and its agent
+// reports it; the worker answers again while a call is in progress. The owner
+// declared the starts without a result lost together with the lease and placed
+// their tasks elsewhere, but the agent repeated the call under a new lease and
+// the worker carried it out.
+TEST_P(UnresponsiveWorkerTest, StartsWithoutAResultRunInOnePlace) {
+  SimulatedCluster cluster(Options());
+  cluster.RunFor(kEarlierLeaseExpiry);
+  const auto [submit_after, span] = GetParam();
+  cluster.worker(kUnresponsiveWorker).SetUnresponsive(true);
+  cluster.RunFor(submit_after);
+  cluster.SubmitLongRunning(kTasks);
+  cluster.RunFor(span - submit_after);
+  cluster.worker(kUnresponsiveWorker).SetUnresponsive(false);
+  cluster.RunFor(seconds(30));
+  cluster.CheckJobs();
+  ExpectNoProblems(cluster);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Spans,
-    SilenceTest,
+    UnresponsiveWorkerTest,
     testing::Combine(
         testing::Range(milliseconds(0), milliseconds(600), milliseconds(60)),
         testing::Range(milliseconds(5000),
@@ -75,29 +76,29 @@
              std::to_string(std::get<1>(info.param).count()) + "ms";
     });
 
-// Symptom: tasks that last stay down for as long as their worker is silent,
-// with room for them elsewhere. Sequence: a worker falls silent; the owner does
-// not know it yet and starts tasks there; the worker stays silent. Cause: each
-// repeat of a start carried a later deadline, so the agent could never be sure
-// that the worker's lease had run out.
+// Guards against long-running tasks that stay down as long as their worker is
+// unresponsive, with room for them elsewhere. A worker becomes unresponsive;
+// the owner does not know it yet and starts tasks there. Each repeat of a start
+// carried a later deadline, so the agent could never be sure that the lease of
+// the worker had expired.
 TEST(SilentWorkerTest, ItsTasksRunElsewhereOnceItsLeaseIsOver) {
-  JobWorld world(Options());
-  world.RunFor(kWorkerIsKnown);
-  world.worker(kSilentWorker).SetSilent(true);
-  const std::string job = world.SubmitLasting(kTasks);
-  // A lease of 5 s with its margins, and 6 s in which a lost task is to be
-  // back.
-  world.RunFor(seconds(12));
+  SimulatedCluster cluster(Options());
+  cluster.RunFor(kEarlierLeaseExpiry);
+  cluster.worker(kUnresponsiveWorker).SetUnresponsive(true);
+  const std::string job = cluster.SubmitLongRunning(kTasks);
+  // A lease of 5 s with its margins, and 6 s within which a lost task has to
+  // run again.
+  cluster.RunFor(seconds(12));
   for (uint32_t index = 0; index < kTasks; ++index) {
     const auto task = job + ".0.0." + std::to_string(index);
     bool runs = false;
-    for (const int number : world.Agents()) {
-      runs =
-          runs || (number != kSilentWorker && world.worker(number).Runs(task));
+    for (const int number : cluster.Agents()) {
+      runs = runs || (number != kUnresponsiveWorker &&
+                      cluster.worker(number).Runs(task));
     }
     EXPECT_TRUE(runs) << task;
   }
-  ExpectNoProblems(world);
+  ExpectNoProblems(cluster);
 }
 
 }  // namespace
--- a/Tests/Jobs/job_world.cc
+++ b/Tests/Jobs/simulated_cluster.cc
@@ -1,4 +1,4 @@
-#include "Tests/Jobs/job_world.h"
+#include "Tests/Jobs/simulated_cluster.h"
 
 #include <absl/strings/str_cat.h>
 #include <absl/strings/str_format.h>
@@ -15,33 +15,34 @@
 constexpr char kHost[] = "queue.example";
 constexpr char kPrefix[] = "/jobs/";
 constexpr char kEndpoint[] = "tcp://agent-";
-constexpr char kEvacuation[] = "evacuate/";
-constexpr uint32_t kAttempts = 4;
-constexpr int kFailuresOfATask = 2;
-// A task under which so many workers have crashed may be started fewer than so
-// many times more.
-constexpr int kCrashesOfATask = 3;
-constexpr int kStartsAfterCrashes = 3;
-constexpr std::chrono::milliseconds kHeartbeat{500};
-constexpr std::chrono::milliseconds kLookAtRegistration{100};
-// Tasks that last must run again within this, once the world has been calm for
-// that long.
-constexpr std::chrono::seconds kRunsAgainWithin{10};
-constexpr std::chrono::seconds kCalmAfter{4};
-// The same of any task of a job.
-constexpr std::chrono::seconds kStandsFor{3};
-constexpr int kRoomForTwo = 2;
-constexpr std::chrono::milliseconds kLookAtLasting{100};
-// A new owner waits this long for agents that do not answer: the limit of the
-// owner before it without a renewal, and its lease.
-constexpr std::chrono::milliseconds kLongestCensus{22000};
-// A run of a task that lasts goes on, or ends by itself all the same.
-constexpr std::chrono::hours kLastingWork{24};
-constexpr double kLastingEnds = 0.2;
-// Of a task that fills, at full speed; the world does not slow it.
-constexpr std::chrono::milliseconds kFillingWork{4000};
-// From the word that a worker has left to the end of its agent.
-constexpr std::chrono::milliseconds kLastWords{50};
+constexpr char kEvacuationPrefix[] = "evacuate/";
+constexpr uint32_t kMaxAttempts = 4;
+constexpr int kMaxFailuresPerTask = 2;
+// After this many workers have crashed under a task, it must be started fewer
+// than kStartLimitAfterCrashes more times.
+constexpr int kCrashesUntilFailed = 3;
+constexpr int kStartLimitAfterCrashes = 3;
+constexpr std::chrono::milliseconds kHeartbeatInterval{500};
+constexpr std::chrono::milliseconds kRegistrationInterval{100};
+// Long-running tasks must run again within this time, once no fault has been
+// active for kStableAfter.
+constexpr std::chrono::seconds kMaxRestartTime{10};
+constexpr std::chrono::seconds kStableAfter{4};
+// A job without a running task must have one again within this time.
+constexpr std::chrono::seconds kStarvationTimeout{3};
+constexpr int kMinWorkersWithRoom = 2;
+constexpr std::chrono::milliseconds kCheckInterval{100};
+// How long a new owner waits for agents that do not answer: the time for which
+// the previous owner may go on without a renewal, and the length of its lease.
+constexpr std::chrono::milliseconds kMaxReconciliationTime{22000};
+// A run of a long-running task normally outlasts the test, but some runs end by
+// themselves.
+constexpr std::chrono::hours kLongRunningWork{24};
+constexpr double kLongRunningEndShare = 0.2;
+// Time of an opportunistic task at full speed; the simulation does not slow it.
+constexpr std::chrono::milliseconds kOpportunisticWork{4000};
+// Time from the report that a worker has left to the exit of its agent.
+constexpr std::chrono::milliseconds kExitDelay{50};
 
 auto Configuration(const std::vector<std::string>& services)
     -> QueueConfiguration {
@@ -52,7 +53,7 @@
   queue.host = kHost;
   queue.path_prefix = kPrefix;
   queue.rules.set_service("service");
-  queue.rules.set_max_attempts(kAttempts);
+  queue.rules.set_max_attempts(kMaxAttempts);
   queue.rules.set_stretch(2.0);
   configuration.queues.push_back(queue);
   for (const auto& name : services) {
@@ -63,7 +64,7 @@
 
 }  // namespace
 
-JobWorld::JobWorld(JobWorldOptions options)
+SimulatedCluster::SimulatedCluster(SimulatedClusterOptions options)
     : options_(std::move(options)), time_(options_.seed), log_(&time_) {
   const bool trace = std::getenv("EXPLORER_TRACE") != nullptr;
   spdlog::set_level(trace ? spdlog::level::info : spdlog::level::off);
@@ -76,14 +77,14 @@
     entries_.back()->name = absl::StrCat("entry-", number);
     StartEntry(number);
   }
-  if (options_.check_lasting || options_.check_standing) {
-    LookLater();
+  if (options_.check_long_running || options_.check_starvation) {
+    ScheduleChecks();
   }
 }
 
-JobWorld::~JobWorld() = default;
+SimulatedCluster::~SimulatedCluster() = default;
 
-auto JobWorld::RunFor(Duration span) -> void {
+auto SimulatedCluster::RunFor(Duration span) -> void {
   const TimePoint end = time_.now() + span;
   constexpr int kEventsToCheck = 20;
   for (int event = 0; time_.Step(end); ++event) {
@@ -93,19 +94,20 @@
   }
 }
 
-auto JobWorld::CheckIndexes() -> void {
+auto SimulatedCluster::CheckIndexes() -> void {
   for (const auto& process : entries_) {
     if (!process->up) {
       continue;
     }
     for (const auto& problem :
          process->entry->owner().FindIndexErrors(time_.now())) {
-      Problem(problem);
+      ReportProblem(problem);
     }
   }
 }
 
-auto JobWorld::Submit(const std::vector<uint32_t>& steps) -> std::string {
+auto SimulatedCluster::Submit(const std::vector<uint32_t>& steps)
+    -> std::string {
   std::string id = absl::StrFormat("%016x", ++next_job_);
   Job job;
   job.set_payload(id);
@@ -123,24 +125,24 @@
   return id;
 }
 
-auto JobWorld::SubmitLasting(uint32_t tasks) -> std::string {
+auto SimulatedCluster::SubmitLongRunning(uint32_t tasks) -> std::string {
   JobStep step;
   step.set_count(tasks);
   step.set_long_running(true);
   return SubmitStep(step);
 }
 
-auto JobWorld::SubmitFilling(uint32_t tasks) -> std::string {
+auto SimulatedCluster::SubmitOpportunistic(uint32_t tasks) -> std::string {
   JobStep step;
   step.set_count(tasks);
-  step.set_estimated_ms(kFillingWork.count());
+  step.set_estimated_ms(kOpportunisticWork.count());
   step.set_uses_spare_processors(true);
   step.set_checkpointing(true);
   step.set_image("filler");
   return SubmitStep(step);
 }
 
-auto JobWorld::SubmitStep(const JobStep& step) -> std::string {
+auto SimulatedCluster::SubmitStep(const JobStep& step) -> std::string {
   std::string id = absl::StrFormat("%016x", ++next_job_);
   Job job;
   job.set_payload(id);
@@ -151,22 +153,23 @@
   return id;
 }
 
-auto JobWorld::SubmitCrashing(const JobStep& step,
-                              std::chrono::milliseconds after) -> std::string {
+auto SimulatedCluster::SubmitCrashing(const JobStep& step,
+                                      std::chrono::milliseconds after)
+    -> std::string {
   std::string id = SubmitStep(step);
   submitted_[id].crashes_after = after;
   return id;
 }
 
-auto JobWorld::Cancel(const std::string& job) -> void {
+auto SimulatedCluster::Cancel(const std::string& job) -> void {
   CancelAt(static_cast<int>(time_.Pick(0, options_.entries - 1)), job);
 }
 
-auto JobWorld::CancelAt(int number, const std::string& job) -> void {
+auto SimulatedCluster::CancelAt(int number, const std::string& job) -> void {
   if (!entries_.at(number)->up) {
     return;
   }
-  submitted_.at(job).cancel_asked = true;
+  submitted_.at(job).cancel_requested = true;
   CallAt(number, JobCallKind::kCancel, job, [this, job](const JobReply& reply) {
     if (reply.verdict == JobVerdict::kCancelled) {
       cancelled_.insert(job);
@@ -174,10 +177,10 @@
   });
 }
 
-auto JobWorld::CallAt(int number,
-                      JobCallKind kind,
-                      const std::string& job,
-                      const JobResponder& respond) -> void {
+auto SimulatedCluster::CallAt(int number,
+                              JobCallKind kind,
+                              const std::string& job,
+                              const JobResponder& respond) -> void {
   Process* process = entries_.at(number).get();
   if (!process->up) {
     return;
@@ -189,31 +192,31 @@
   });
 }
 
-auto JobWorld::KillEntry(int number, Duration down) -> void {
+auto SimulatedCluster::KillEntry(int number, Duration down) -> void {
   Kill(entries_.at(number).get(), down,
        [this, number]() -> void { StartEntry(number); });
 }
 
-auto JobWorld::KillAgent(int number, Duration down) -> void {
+auto SimulatedCluster::KillAgent(int number, Duration down) -> void {
   Kill(agents_.at(number).get(), down,
        [this, number]() -> void { StartAgent(number); });
 }
 
-auto JobWorld::FreezeEntry(int number, Duration span) -> void {
+auto SimulatedCluster::FreezeEntry(int number, Duration span) -> void {
   entries_.at(number)->frozen_until = time_.now() + span;
 }
 
-auto JobWorld::FreezeAgent(int number, Duration span) -> void {
+auto SimulatedCluster::FreezeAgent(int number, Duration span) -> void {
   agents_.at(number)->frozen_until = time_.now() + span;
 }
 
-auto JobWorld::CutLink(int entry, int agent, Duration span) -> void {
+auto SimulatedCluster::CutLink(int entry, int agent, Duration span) -> void {
   cuts_[{entry, agent}] = time_.now() + span;
 }
 
-auto JobWorld::CutOff(const std::set<int>& entries,
-                      const std::set<int>& agents,
-                      Duration span) -> void {
+auto SimulatedCluster::Isolate(const std::set<int>& entries,
+                               const std::set<int>& agents,
+                               Duration span) -> void {
   std::vector<std::string> clients;
   clients.reserve(entries.size() + agents.size());
   for (const int entry : entries) {
@@ -230,7 +233,7 @@
     }
   }
   for (const auto& client : clients) {
-    log_.SetModeFor(client, VirtualLog::Mode::kHolds);
+    log_.SetModeFor(client, VirtualLog::Mode::kHoldsAppends);
   }
   time_.After(span, [this, clients]() -> void {
     for (const auto& client : clients) {
@@ -239,7 +242,7 @@
   });
 }
 
-auto JobWorld::StopEntry(int number) -> void {
+auto SimulatedCluster::StopEntry(int number) -> void {
   Process* process = entries_.at(number).get();
   if (!process->up) {
     return;
@@ -251,59 +254,59 @@
   });
 }
 
-auto JobWorld::AddAgent() -> int {
+auto SimulatedCluster::AddAgent() -> int {
   const int number = static_cast<int>(agents_.size());
   workers_.push_back(std::make_unique<VirtualWorker>(
-      &time_, absl::StrCat("worker-", number), Watch()));
+      &time_, absl::StrCat("worker-", number), MakeObserver()));
   agents_.push_back(std::make_unique<Process>());
   agents_.back()->name = absl::StrCat("agent-", number);
   StartAgent(number);
-  Beat(number);
+  SendHeartbeat(number);
   return number;
 }
 
-auto JobWorld::RemoveAgent(int number, bool planned) -> void {
+auto SimulatedCluster::RemoveAgent(int number, bool planned) -> void {
   Process* process = agents_.at(number).get();
-  if (process->gone) {
+  if (process->removed) {
     return;
   }
-  const std::string life = workers_.at(number)->Heartbeat().worker_id;
-  workers_.at(number)->Vanish();
-  process->gone = true;
+  const std::string lifetime = workers_.at(number)->Heartbeat().worker_id;
+  workers_.at(number)->Remove();
+  process->removed = true;
   const auto end = [this, number]() -> void { KillAgent(number, Duration(0)); };
   if (!planned) {
     end();
     return;
   }
   if (process->up) {
-    Deliver(process, [this, process, life]() -> void {
-      process->agent->OnLeave(time_.now(), life);
+    Deliver(process, [this, process, lifetime]() -> void {
+      process->agent->OnLeave(time_.now(), lifetime);
       Register(process);
     });
   }
-  time_.After(kLastWords, end);
+  time_.After(kExitDelay, end);
 }
 
-auto JobWorld::Agents() const -> std::vector<int> {
+auto SimulatedCluster::Agents() const -> std::vector<int> {
   std::vector<int> numbers;
   for (int number = 0; number < static_cast<int>(agents_.size()); ++number) {
-    if (!agents_[number]->gone) {
+    if (!agents_[number]->removed) {
       numbers.push_back(number);
     }
   }
   return numbers;
 }
 
-auto JobWorld::HealAll() -> void {
+auto SimulatedCluster::HealAll() -> void {
   log_.HealAll();
   cuts_.clear();
   for (const auto& worker : workers_) {
-    worker->SetSilent(false);
+    worker->SetUnresponsive(false);
     worker->SetUnanswered(0);
   }
 }
 
-auto JobWorld::Owner() const -> int {
+auto SimulatedCluster::Owner() const -> int {
   int owner = -1;
   for (int number = 0; number < options_.entries; ++number) {
     const auto& process = entries_[number];
@@ -314,24 +317,25 @@
   return std::max(owner, -1);
 }
 
-auto JobWorld::FenceOf(int entry) const -> uint64_t {
+auto SimulatedCluster::FenceOf(int entry) const -> uint64_t {
   const auto& process = entries_.at(entry);
   return process->up ? process->entry->fence() : 0;
 }
 
-auto JobWorld::StateOf(int entry, const std::string& job) const
+auto SimulatedCluster::StateOf(int entry, const std::string& job) const
     -> std::optional<JobState> {
   const auto& process = entries_.at(entry);
   const auto* stored = process->up ? process->entry->fold().Find(job) : nullptr;
   return stored == nullptr ? std::nullopt : std::optional(stored->state());
 }
 
-auto JobWorld::StartEntry(int number) -> void {
+auto SimulatedCluster::StartEntry(int number) -> void {
   Process* process = entries_.at(number).get();
   process->up = true;
   EntryHooks hooks;
   hooks.log = log_.PortFor(process->name, [] { return true; });
-  // Answers come to the process as it is, and wait while it is frozen.
+  // Answers are delivered to the generation of the process that asked, and wait
+  // while it is frozen.
   const auto port = hooks.log;
   const uint64_t generation = process->generation;
   const auto in_process =
@@ -380,7 +384,7 @@
   hooks.evacuated_domain =
       [](const std::string& key) -> std::optional<std::string> {
     absl::string_view domain = key;
-    return absl::ConsumePrefix(&domain, kEvacuation)
+    return absl::ConsumePrefix(&domain, kEvacuationPrefix)
                ? std::optional<std::string>(domain)
                : std::nullopt;
   };
@@ -389,9 +393,9 @@
   Deliver(process, [process]() -> void { process->entry->Start(); });
 }
 
-auto JobWorld::StartAgent(int number) -> void {
+auto SimulatedCluster::StartAgent(int number) -> void {
   Process* process = agents_.at(number).get();
-  if (process->gone) {
+  if (process->removed) {
     return;
   }
   process->up = true;
@@ -404,23 +408,23 @@
     }
   };
   const WorkerPort port = workers_.at(number)->PortFor([] { return true; });
-  const auto later = [this, in_process](const WorkerPort::OnCall& done) {
+  const auto deferred = [this, in_process](const WorkerPort::OnCall& done) {
     return [this, in_process, done](TimePoint, WorkerCallResult result) {
       in_process([this, done, result] { done(time_.now(), result); });
     };
   };
   TaskAgentHooks hooks;
-  hooks.worker.start = [port, later](const StartCall& call,
-                                     const WorkerPort::OnCall& done) {
-    port.start(call, later(done));
+  hooks.worker.start = [port, deferred](const StartCall& call,
+                                        const WorkerPort::OnCall& done) {
+    port.start(call, deferred(done));
   };
-  hooks.worker.stop = [port, later](const StopCall& call,
-                                    const WorkerPort::OnCall& done) {
-    port.stop(call, later(done));
+  hooks.worker.stop = [port, deferred](const StopCall& call,
+                                       const WorkerPort::OnCall& done) {
+    port.stop(call, deferred(done));
   };
-  hooks.worker.pace = [port, later](const PaceCall& call,
-                                    const WorkerPort::OnCall& done) {
-    port.pace(call, later(done));
+  hooks.worker.pace = [port, deferred](const PaceCall& call,
+                                       const WorkerPort::OnCall& done) {
+    port.pace(call, deferred(done));
   };
   hooks.worker.list = [this, port, in_process](
                           const ListCall& call,
@@ -453,8 +457,8 @@
   KeepRegistered(process);
 }
 
-auto JobWorld::Register(Process* process) -> void {
-  if (Sleeps(*process)) {
+auto SimulatedCluster::Register(Process* process) -> void {
+  if (SkipsRegistration(*process)) {
     return;
   }
   process->registration->RegisterIfDue(
@@ -473,9 +477,9 @@
       });
 }
 
-auto JobWorld::KeepRegistered(Process* process) -> void {
+auto SimulatedCluster::KeepRegistered(Process* process) -> void {
   Register(process);
-  time_.After(kLookAtRegistration,
+  time_.After(kRegistrationInterval,
               [this, process, generation = process->generation]() -> void {
                 if (process->generation == generation) {
                   KeepRegistered(process);
@@ -483,13 +487,13 @@
               });
 }
 
-auto JobWorld::Sleeps(const Process& process) const -> bool {
+auto SimulatedCluster::SkipsRegistration(const Process& process) const -> bool {
   return options_.paced_registration && process.frozen_until > time_.now();
 }
 
-auto JobWorld::Kill(Process* process,
-                    Duration down,
-                    std::function<auto()->void> start) -> void {
+auto SimulatedCluster::Kill(Process* process,
+                            Duration down,
+                            std::function<auto()->void> start) -> void {
   if (!process->up) {
     return;
   }
@@ -503,16 +507,17 @@
   time_.After(down, std::move(start));
 }
 
-auto JobWorld::Deliver(Process* process,
-                       const std::function<auto()->void>& event) -> void {
+auto SimulatedCluster::Deliver(Process* process,
+                               const std::function<auto()->void>& event)
+    -> void {
   if (options_.keep_order) {
     process->inbox.push_back(event);
     HandleInbox(process);
     return;
   }
   const uint64_t generation = process->generation;
-  // Through the queue of events always: so nothing of a process runs inside a
-  // call that the process makes.
+  // Always passes through the event queue, so that no code of a process runs
+  // inside a call that the process makes.
   const TimePoint when = std::max(time_.now(), process->frozen_until);
   time_.At(when, [this, process, generation, event]() -> void {
     if (process->generation != generation) {
@@ -527,7 +532,7 @@
   });
 }
 
-auto JobWorld::HandleInbox(Process* process) -> void {
+auto SimulatedCluster::HandleInbox(Process* process) -> void {
   const uint64_t generation = process->generation;
   const TimePoint when = std::max(time_.now(), process->frozen_until);
   time_.At(when, [this, process, generation]() -> void {
@@ -545,15 +550,15 @@
   });
 }
 
-auto JobWorld::WakeLater(Process* process) -> void {
-  const TimePoint wished = process->entry != nullptr
-                               ? process->entry->next_wake()
-                               : process->agent->next_wake();
-  if (wished == TimePoint::max()) {
+auto SimulatedCluster::WakeLater(Process* process) -> void {
+  const TimePoint requested_wake = process->entry != nullptr
+                                       ? process->entry->next_wake()
+                                       : process->agent->next_wake();
+  if (requested_wake == TimePoint::max()) {
     return;
   }
   const TimePoint wake =
-      std::max(wished, time_.now() + std::chrono::milliseconds(1));
+      std::max(requested_wake, time_.now() + std::chrono::milliseconds(1));
   if (wake >= process->wake_at && process->wake_at > time_.now()) {
     return;
   }
@@ -574,9 +579,9 @@
   });
 }
 
-auto JobWorld::SendOrders(int entry,
-                          const std::string& endpoint,
-                          const AgentOrders& orders) -> void {
+auto SimulatedCluster::SendOrders(int entry,
+                                  const std::string& endpoint,
+                                  const AgentOrders& orders) -> void {
   const int number = std::stoi(endpoint.substr(sizeof(kEndpoint) - 1));
   if (IsCut(entry, number)) {
     return;
@@ -591,9 +596,9 @@
   });
 }
 
-auto JobWorld::SendReport(int agent,
-                          const std::string& peer,
-                          const AgentReport& report) -> void {
+auto SimulatedCluster::SendReport(int agent,
+                                  const std::string& peer,
+                                  const AgentReport& report) -> void {
   const int entry = std::stoi(peer);
   if (IsCut(entry, agent)) {
     return;
@@ -608,28 +613,29 @@
   });
 }
 
-auto JobWorld::IsCut(int entry, int agent) const -> bool {
+auto SimulatedCluster::IsCut(int entry, int agent) const -> bool {
   const auto found = cuts_.find({entry, agent});
   return found != cuts_.end() && time_.now() < found->second;
 }
 
-auto JobWorld::Beat(int number) -> void {
+auto SimulatedCluster::SendHeartbeat(int number) -> void {
   Process* process = agents_.at(number).get();
-  if (process->gone) {
+  if (process->removed) {
     return;
   }
   const auto heartbeat = workers_.at(number)->Heartbeat();
   if (process->up && !workers_.at(number)->down()) {
     Deliver(process, [this, process, heartbeat]() -> void {
       if (!process->agent->OnHeartbeat(time_.now(), heartbeat)) {
-        Trace(absl::StrCat(process->name, " refuses ", heartbeat.worker_id));
+        Trace(absl::StrCat(process->name, " rejects ", heartbeat.worker_id));
       }
     });
   }
-  time_.After(kHeartbeat, [this, number]() -> void { Beat(number); });
+  time_.After(kHeartbeatInterval,
+              [this, number]() -> void { SendHeartbeat(number); });
 }
 
-auto JobWorld::TrySubmit(const std::string& id) -> void {
+auto SimulatedCluster::TrySubmit(const std::string& id) -> void {
   auto& submitted = submitted_[id];
   if (submitted.accepted) {
     return;
@@ -650,63 +656,69 @@
               [this, id]() -> void { TrySubmit(id); });
 }
 
-auto JobWorld::OnReply(const std::string& id, const JobReply& reply) -> void {
+auto SimulatedCluster::OnReply(const std::string& id, const JobReply& reply)
+    -> void {
   if (reply.verdict == JobVerdict::kAccepted) {
     auto& submitted = submitted_[id];
     submitted.accepted = true;
     accepted_.insert(id);
-    if (IsLasting(id)) {
+    if (IsLongRunningJob(id)) {
       for (uint32_t index = 0; index < submitted.job.steps(0).count();
            ++index) {
-        lasting_.emplace(absl::StrCat(id, ".0.0.", index), time_.now());
+        startable_since_.emplace(absl::StrCat(id, ".0.0.", index), time_.now());
       }
     }
   }
 }
 
-auto JobWorld::Watch() -> WorkerWatch {
-  WorkerWatch watch;
-  watch.on_start = [this](const std::string& worker, const TaskName& task,
-                          uint64_t run) -> void { OnStart(worker, task, run); };
-  watch.on_end = [this](const TaskName& task, RunEnd end, bool noted) -> void {
-    OnEnd(task, end, noted);
+auto SimulatedCluster::MakeObserver() -> WorkerObserver {
+  WorkerObserver observer;
+  observer.on_start = [this](const std::string& worker, const TaskName& task,
+                             uint64_t run) -> void {
+    OnStart(worker, task, run);
   };
-  watch.on_done = [this](const TaskName& task) -> void {
+  observer.on_end = [this](const TaskName& task, RunEnd end,
+                           bool recorded) -> void {
+    OnEnd(task, end, recorded);
+  };
+  observer.on_done = [this](const TaskName& task) -> void {
     ++done_runs_[DescribeTask(task)];
     Trace(absl::StrCat("DONE ", DescribeTask(task)));
   };
-  watch.work = [this](const TaskName& task) -> std::chrono::milliseconds {
-    if (Lasts(task)) {
-      return time_.Chance(kLastingEnds) ? time_.Milliseconds(500, 8000)
-                                        : kLastingWork;
+  observer.work = [this](const TaskName& task) -> std::chrono::milliseconds {
+    if (IsLongRunning(task)) {
+      return time_.Chance(kLongRunningEndShare) ? time_.Milliseconds(500, 8000)
+                                                : kLongRunningWork;
     }
-    if (Fills(task)) {
-      return kFillingWork;
+    if (IsOpportunistic(task)) {
+      return kOpportunisticWork;
     }
     return time_.Milliseconds(200, 2500);
   };
-  watch.crashes_after =
+  observer.crashes_after =
       [this](const TaskName& task) -> std::optional<std::chrono::milliseconds> {
     return Crashes(task) ? submitted_.at(task.job()).crashes_after
                          : std::nullopt;
   };
-  watch.back_after_crash = options_.back_after_crash;
-  watch.on_crash = [this](const TaskName& task) -> void { OnCrash(task); };
-  watch.fills = [this](const TaskName& task) -> bool { return Fills(task); };
-  watch.fails = [this](const TaskName& task) -> bool {
+  observer.restart_delay = options_.restart_delay;
+  observer.on_crash = [this](const TaskName& task) -> void { OnCrash(task); };
+  observer.is_opportunistic = [this](const TaskName& task) -> bool {
+    return IsOpportunistic(task);
+  };
+  observer.fails = [this](const TaskName& task) -> bool {
     const std::string name = DescribeTask(task);
-    if (Lasts(task)) {
+    if (IsLongRunning(task)) {
       return time_.Chance(0.5);
     }
-    const bool fails = failed_runs_[name] < kFailuresOfATask &&
+    const bool fails = failed_runs_[name] < kMaxFailuresPerTask &&
                        time_.Chance(options_.failing_runs);
     failed_runs_[name] += fails ? 1 : 0;
     return fails;
   };
-  return watch;
+  return observer;
 }
 
-auto JobWorld::Trace(const std::string& text) -> void {
+auto SimulatedCluster::Trace(const std::string& text) -> void {
   if (std::getenv("EXPLORER_TRACE") != nullptr) {
     std::cout << std::chrono::duration_cast<std::chrono::milliseconds>(
                      time_.now().time_since_epoch())
@@ -715,9 +727,9 @@
   }
 }
 
-auto JobWorld::OnStart(const std::string& worker,
-                       const TaskName& task,
-                       uint64_t run) -> void {
+auto SimulatedCluster::OnStart(const std::string& worker,
+                               const TaskName& task,
+                               uint64_t run) -> void {
   ++starts_;
   options_.on_start(task);
   Trace(
@@ -725,72 +737,75 @@
   const std::string name = DescribeTask(task);
   for (const auto& other : workers_) {
     if (other->name() != worker && other->Runs(name)) {
-      Problem(
+      ReportProblem(
           absl::StrCat(name, " runs at ", worker, " and at ", other->name()));
     }
   }
   if (Crashes(task)) {
     CheckCrashBudget(name);
   }
-  if (Lasts(task)) {
-    lasting_restarts_ += lasting_starts_[name]++ > 0 ? 1 : 0;
-    if (lasting_.contains(name)) {
-      lasting_[name] = time_.now();
+  if (IsLongRunning(task)) {
+    long_running_restarts_ += long_running_starts_[name]++ > 0 ? 1 : 0;
+    if (startable_since_.contains(name)) {
+      startable_since_[name] = time_.now();
     }
     return;
   }
-  if (noted_done_.contains(name)) {
-    Problem(absl::StrCat(name, " starts after its end was noted"));
+  if (recorded_done_.contains(name)) {
+    ReportProblem(absl::StrCat(name, " starts after its end was recorded"));
   }
-  if (noted_failures_[name] >= static_cast<int>(kAttempts)) {
-    Problem(absl::StrCat(name, " starts beyond its attempts"));
+  if (recorded_failures_[name] >= static_cast<int>(kMaxAttempts)) {
+    ReportProblem(absl::StrCat(name, " starts after its last attempt"));
   }
   if (!submitted_.contains(task.job())) {
-    Problem(absl::StrCat(name, " was handed in by nobody"));
+    ReportProblem(
+        absl::StrCat(name, " belongs to a job that was not submitted"));
   }
 }
 
-auto JobWorld::OnCrash(const TaskName& task) -> void {
+auto SimulatedCluster::OnCrash(const TaskName& task) -> void {
   Trace(absl::StrCat("CRASH under ", DescribeTask(task)));
   ++crashes_[DescribeTask(task)];
 }
 
-auto JobWorld::CheckCrashBudget(const std::string& task) -> void {
-  if (crashes_[task] < kCrashesOfATask) {
+auto SimulatedCluster::CheckCrashBudget(const std::string& task) -> void {
+  if (crashes_[task] < kCrashesUntilFailed) {
     return;
   }
-  if (++starts_after_crashes_[task] >= kStartsAfterCrashes) {
-    Problem(absl::StrCat(task, " is started ", starts_after_crashes_[task],
-                         " times more after ", kCrashesOfATask,
-                         " workers had crashed under it"));
+  if (++starts_after_crashes_[task] >= kStartLimitAfterCrashes) {
+    ReportProblem(absl::StrCat(task, " was started ",
+                               starts_after_crashes_[task],
+                               " more times after ", kCrashesUntilFailed,
+                               " workers had crashed under it"));
   }
 }
 
-auto JobWorld::OnEnd(const TaskName& task, RunEnd end, bool noted) -> void {
+auto SimulatedCluster::OnEnd(const TaskName& task, RunEnd end, bool recorded)
+    -> void {
   const std::string name = DescribeTask(task);
   Trace(absl::StrCat("FORGOTTEN ", name, " ", RunEnd_Name(end),
-                     noted ? " noted" : " lapsed"));
-  if (!noted || Lasts(task)) {
-    // The worker's lease ran out before the end was noted: the task may have
-    // been started again meanwhile.
+                     recorded ? " recorded" : " lapsed"));
+  if (!recorded || IsLongRunning(task)) {
+    // The lease of the worker expired before the end was recorded, so the task
+    // may have been started again in the meantime.
     return;
   }
   if (end == RUN_FAILED) {
-    ++noted_failures_[name];
+    ++recorded_failures_[name];
   }
   if (end != RUN_DONE) {
     return;
   }
-  noted_done_.emplace(name, time_.now());
+  recorded_done_.emplace(name, time_.now());
   for (const auto& worker : workers_) {
     if (worker->Runs(name)) {
-      Problem(absl::StrCat(name, " runs at ", worker->name(),
-                           " after its end was noted"));
+      ReportProblem(absl::StrCat(name, " runs at ", worker->name(),
+                                 " after its end was recorded"));
     }
   }
 }
 
-auto JobWorld::CheckCompleted() -> void {
+auto SimulatedCluster::CheckCompleted() -> void {
   for (const auto& id : accepted_) {
     const auto& job = submitted_[id].job;
     for (int entry = 0; entry < options_.entries; ++entry) {
@@ -801,7 +816,8 @@
         for (uint32_t index = 0; index < job.steps(step).count(); ++index) {
           const auto task = absl::StrCat(id, ".0.", step, ".", index);
           if (done_runs_[task] < 1) {
-            Problem(absl::StrCat(id, " is completed, but ", task, " has not"));
+            ReportProblem(absl::StrCat(id, " is completed, but ", task,
+                                       " has not run to its end"));
           }
         }
       }
@@ -809,114 +825,116 @@
   }
 }
 
-auto JobWorld::lasting() const -> std::vector<std::string> {
+auto SimulatedCluster::long_running_jobs() const -> std::vector<std::string> {
   std::vector<std::string> jobs;
   for (const auto& [id, submitted] : submitted_) {
-    if (IsLasting(id) && !submitted.cancel_asked) {
+    if (IsLongRunningJob(id) && !submitted.cancel_requested) {
       jobs.push_back(id);
     }
   }
   return jobs;
 }
 
-auto JobWorld::lasting_tasks() const -> std::size_t {
+auto SimulatedCluster::long_running_tasks() const -> std::size_t {
   std::size_t tasks = 0;
   for (const auto& [id, submitted] : submitted_) {
-    const bool open = IsLasting(id) && !cancelled_.contains(id);
+    const bool open = IsLongRunningJob(id) && !cancelled_.contains(id);
     tasks += open ? submitted.job.steps(0).count() : 0;
   }
   return tasks;
 }
 
-auto JobWorld::IsLasting(const std::string& job) const -> bool {
+auto SimulatedCluster::IsLongRunningJob(const std::string& job) const -> bool {
   const auto found = submitted_.find(job);
   return found != submitted_.end() && found->second.job.steps(0).long_running();
 }
 
-auto JobWorld::Lasts(const TaskName& task) const -> bool {
-  return IsLasting(task.job());
+auto SimulatedCluster::IsLongRunning(const TaskName& task) const -> bool {
+  return IsLongRunningJob(task.job());
 }
 
-auto JobWorld::Fills(const TaskName& task) const -> bool {
+auto SimulatedCluster::IsOpportunistic(const TaskName& task) const -> bool {
   const auto found = submitted_.find(task.job());
   return found != submitted_.end() &&
          found->second.job.steps(0).uses_spare_processors();
 }
 
-auto JobWorld::Crashes(const TaskName& task) const -> bool {
+auto SimulatedCluster::Crashes(const TaskName& task) const -> bool {
   const auto found = submitted_.find(task.job());
   return task.index() == 0 && found != submitted_.end() &&
          found->second.crashes_after.has_value();
 }
 
-auto JobWorld::MayBeGivenUp(const std::string& job) const -> bool {
-  return std::any_of(
-      crashes_.begin(), crashes_.end(), [&job](const auto& item) -> bool {
-        return item.first.starts_with(job) && item.second >= kCrashesOfATask;
-      });
+auto SimulatedCluster::MayHaveFailed(const std::string& job) const -> bool {
+  return std::any_of(crashes_.begin(), crashes_.end(),
+                     [&job](const auto& item) -> bool {
+                       return item.first.starts_with(job) &&
+                              item.second >= kCrashesUntilFailed;
+                     });
 }
 
-auto JobWorld::crashes(const std::string& job) const -> int {
+auto SimulatedCluster::crashes(const std::string& job) const -> int {
   const auto found = crashes_.find(absl::StrCat(job, ".0.0.0"));
   return found == crashes_.end() ? 0 : found->second;
 }
 
-auto JobWorld::Disturbed() const -> bool {
-  return log_.disturbed() || DisturbedBeyondReads();
+auto SimulatedCluster::HasFault() const -> bool {
+  return log_.has_fault() || HasFaultBeyondReads();
 }
 
-auto JobWorld::DisturbedBeyondReads() const -> bool {
+auto SimulatedCluster::HasFaultBeyondReads() const -> bool {
   const auto fails = [this](const auto& process) -> bool {
-    return !process->gone &&
+    return !process->removed &&
            (!process->up || process->frozen_until > time_.now());
   };
-  return log_.disturbed_beyond_reads() ||
+  return log_.has_fault_beyond_reads() ||
          std::any_of(entries_.begin(), entries_.end(), fails) ||
          std::any_of(agents_.begin(), agents_.end(), fails) ||
          std::any_of(workers_.begin(), workers_.end(),
                      [](const auto& worker) -> bool {
-                       return !worker->gone() && worker->disturbed();
+                       return !worker->removed() && worker->has_fault();
                      }) ||
          std::any_of(cuts_.begin(), cuts_.end(),
                      [this](const auto& cut) -> bool {
                        return time_.now() < cut.second &&
-                              !agents_.at(cut.first.second)->gone;
+                              !agents_.at(cut.first.second)->removed;
                      });
 }
 
-auto JobWorld::HasRoom() const -> bool {
+auto SimulatedCluster::HasRoom() const -> bool {
   const auto agents = Agents();
   return std::any_of(agents.begin(), agents.end(), [this](int number) -> bool {
     return workers_.at(number)->HasRoom();
   });
 }
 
-auto JobWorld::CensusWaits() const -> bool {
+auto SimulatedCluster::IsReconciling() const -> bool {
   const int owner = Owner();
   return owner >= 0 && !entries_[owner]->entry->owner().reconciliation_done() &&
          std::any_of(agents_.begin(), agents_.end(),
-                     [](const auto& agent) -> bool { return agent->gone; });
+                     [](const auto& agent) -> bool { return agent->removed; });
 }
 
-auto JobWorld::RunsAnywhere(const std::string& task) const -> bool {
+auto SimulatedCluster::RunsAnywhere(const std::string& task) const -> bool {
   return std::any_of(
       workers_.begin(), workers_.end(),
       [&task](const auto& worker) -> bool { return worker->Runs(task); });
 }
 
-auto JobWorld::IsCalm() -> bool {
-  if (Disturbed()) {
-    NoteFault();
+auto SimulatedCluster::IsStable() -> bool {
+  if (HasFault()) {
+    RecordFault();
   }
-  if (!CensusWaits()) {
-    no_census_at_ = time_.now();
+  if (!IsReconciling()) {
+    no_reconciliation_at_ = time_.now();
   }
-  const bool census = options_.allow_census && CensusWaits() &&
-                      time_.now() - no_census_at_ < kLongestCensus;
-  return time_.now() - disturbed_at_ >= kCalmAfter && !census;
+  const bool may_reconcile =
+      options_.allow_reconciliation && IsReconciling() &&
+      time_.now() - no_reconciliation_at_ < kMaxReconciliationTime;
+  return time_.now() - last_fault_at_ >= kStableAfter && !may_reconcile;
 }
 
-auto JobWorld::HasAmpleRoom() const -> bool {
+auto SimulatedCluster::HasAmpleRoom() const -> bool {
   int with_room = 0;
   std::size_t used = 0;
   const auto agents = Agents();
@@ -925,13 +943,13 @@
     with_room += worker.HasRoom() ? 1 : 0;
     used += worker.running() * kTaskMillicores;
   }
-  return with_room >= kRoomForTwo &&
+  return with_room >= kMinWorkersWithRoom &&
          used < agents.size() * VirtualWorker::kMillicores / 2;
 }
 
-auto JobWorld::MayBeOver(const std::string& job) const -> bool {
+auto SimulatedCluster::MayHaveEnded(const std::string& job) const -> bool {
   const auto& submitted = submitted_.at(job);
-  if (submitted.cancel_asked || submitted.crashes_after ||
+  if (submitted.cancel_requested || submitted.crashes_after ||
       completed_.contains(job)) {
     return true;
   }
@@ -944,7 +962,7 @@
   return false;
 }
 
-auto JobWorld::AnyTaskRuns(const std::string& job) const -> bool {
+auto SimulatedCluster::AnyTaskRuns(const std::string& job) const -> bool {
   const std::string prefix = job + ".";
   return std::any_of(workers_.begin(), workers_.end(),
                      [&prefix](const auto& worker) -> bool {
@@ -952,47 +970,49 @@
                      });
 }
 
-auto JobWorld::CheckStanding() -> void {
-  const bool startable = IsCalm() && HasAmpleRoom();
+auto SimulatedCluster::CheckStarvation() -> void {
+  const bool startable = IsStable() && HasAmpleRoom();
   for (const auto& id : accepted_) {
-    TimePoint& since = standing_.emplace(id, time_.now()).first->second;
-    if (!startable || MayBeOver(id) || AnyTaskRuns(id)) {
+    TimePoint& since = idle_since_.emplace(id, time_.now()).first->second;
+    if (!startable || MayHaveEnded(id) || AnyTaskRuns(id)) {
       since = time_.now();
-    } else if (time_.now() - since >= kStandsFor) {
-      Problem(absl::StrCat(id, " has nothing running, with room for it"));
+    } else if (time_.now() - since >= kStarvationTimeout) {
+      ReportProblem(
+          absl::StrCat(id, " is starved although there is room for its tasks"));
       since = time_.now();
     }
   }
 }
 
-auto JobWorld::CheckLasting() -> void {
-  const bool startable = IsCalm() && HasRoom();
-  for (auto& [task, since] : lasting_) {
+auto SimulatedCluster::CheckLongRunning() -> void {
+  const bool startable = IsStable() && HasRoom();
+  for (auto& [task, since] : startable_since_) {
     const auto& job = submitted_.at(task.substr(0, task.find('.')));
-    if (job.cancel_asked || job.crashes_after || !startable ||
+    if (job.cancel_requested || job.crashes_after || !startable ||
         RunsAnywhere(task)) {
       since = time_.now();
-    } else if (time_.now() - since >= kRunsAgainWithin) {
-      Problem(absl::StrCat(task, " lasts and does not run, with room for it"));
+    } else if (time_.now() - since >= kMaxRestartTime) {
+      ReportProblem(absl::StrCat(
+          task, " is long-running and does not run although there is room"));
       since = time_.now();
     }
   }
 }
 
-auto JobWorld::LookLater() -> void {
-  time_.After(kLookAtLasting, [this]() -> void {
-    if (options_.check_lasting) {
-      CheckLasting();
+auto SimulatedCluster::ScheduleChecks() -> void {
+  time_.After(kCheckInterval, [this]() -> void {
+    if (options_.check_long_running) {
+      CheckLongRunning();
     }
-    NoteCompleted();
-    if (options_.check_standing) {
-      CheckStanding();
+    RecordCompleted();
+    if (options_.check_starvation) {
+      CheckStarvation();
     }
-    LookLater();
+    ScheduleChecks();
   });
 }
 
-auto JobWorld::NoteCompleted() -> void {
+auto SimulatedCluster::RecordCompleted() -> void {
   for (const auto& id : accepted_) {
     for (int entry = 0; entry < options_.entries; ++entry) {
       if (!completed_.contains(id) && StateOf(entry, id) == JOB_COMPLETED) {
@@ -1002,43 +1022,44 @@
   }
 }
 
-auto JobWorld::CheckJobs() -> void {
-  NoteCompleted();
+auto SimulatedCluster::CheckJobs() -> void {
+  RecordCompleted();
   for (const auto& id : accepted_) {
     for (int entry = 0; entry < options_.entries; ++entry) {
       CheckStateOf(id, entry);
     }
   }
-  for (const auto& [task, since] : lasting_) {
+  for (const auto& [task, since] : startable_since_) {
     const std::string id = task.substr(0, task.find('.'));
     if (cancelled_.contains(id) && RunsAnywhere(task)) {
-      Problem(absl::StrCat(task, " runs, but its job is cancelled"));
+      ReportProblem(absl::StrCat(task, " runs, but its job is cancelled"));
     }
   }
 }
 
-auto JobWorld::CheckStateOf(const std::string& job, int entry) -> void {
+auto SimulatedCluster::CheckStateOf(const std::string& job, int entry) -> void {
   const auto state = StateOf(entry, job);
-  bool as_told = state && *state < JOB_COMPLETED;
+  bool expected = state && *state < JOB_COMPLETED;
   if (cancelled_.contains(job)) {
-    as_told = !state || *state == JOB_CANCELLED;
-  } else if (submitted_.at(job).cancel_asked) {
-    as_told = as_told || !state || *state == JOB_CANCELLED;
+    expected = !state || *state == JOB_CANCELLED;
+  } else if (submitted_.at(job).cancel_requested) {
+    expected = expected || !state || *state == JOB_CANCELLED;
   } else if (submitted_.at(job).crashes_after) {
-    as_told = !state || *state == JOB_FAILED;
-  } else if (!IsLasting(job)) {
-    as_told = state ? *state == JOB_COMPLETED : completed_.contains(job);
+    expected = !state || *state == JOB_FAILED;
+  } else if (!IsLongRunningJob(job)) {
+    expected = state ? *state == JOB_COMPLETED : completed_.contains(job);
   }
-  if (!as_told && state == JOB_FAILED) {
-    as_told = MayBeGivenUp(job);
+  if (!expected && state == JOB_FAILED) {
+    expected = MayHaveFailed(job);
   }
-  if (!as_told) {
-    Problem(absl::StrCat(job, " is ", state ? JobState_Name(*state) : "unknown",
-                         " at entry ", entry));
+  if (!expected) {
+    ReportProblem(absl::StrCat(job, " is ",
+                               state ? JobState_Name(*state) : "unknown",
+                               " at entry ", entry));
   }
 }
 
-auto JobWorld::Problem(const std::string& text) -> void {
+auto SimulatedCluster::ReportProblem(const std::string& text) -> void {
   problems_.push_back(
       absl::StrCat(std::chrono::duration_cast<std::chrono::milliseconds>(
                        time_.now().time_since_epoch())
--- a/Tests/Jobs/stale_copy_test.cc
+++ b/Tests/Jobs/stale_copy_test.cc
@@ -1,4 +1,4 @@
-// What an entry tells callers of jobs that its copy of the log does not have.
+// What an entry answers about jobs that are missing in its copy of the log.
 
 #include <string>
 #include <vector>
@@ -14,11 +14,11 @@
 constexpr milliseconds kDeadline{3000};
 
 enum class Copy {
-  // All that the log holds, and it has no such job.
+  // Complete: the log has no such job.
   kCurrent,
   // Older than the job.
   kBehind,
-  // The log does not say how far it goes.
+  // The log does not answer where it ends.
   kUnknown,
 };
 
@@ -36,7 +36,7 @@
     AnswerOperators({{kConfigurationKey, "1", 0}});
     AnswerNewest({}, /*more=*/false);
     AnswerRead(ReadOutcome::kRecords);
-    Pass(milliseconds(0));
+    AdvanceTime(milliseconds(0));
     AnswerAppends();
   }
 
@@ -58,7 +58,7 @@
     });
   }
 
-  // What the log says after the call.
+  // Answers with the state of the log after the call.
   auto ShowLog(Copy copy) -> void {
     if (copy == Copy::kUnknown) {
       AnswerEndRead(ReadOutcome::kFailed, 0);
@@ -78,8 +78,8 @@
 class StaleCopyTest : public StaleEntryTest,
                       public testing::WithParamInterface<StaleCopyCase> {};
 
-// Guards against "no such job", and a cancel that is stored nowhere, out of a
-// copy of the log that is older than the job.
+// Guards against the answer "no such job", and a cancel that is not stored,
+// from a copy of the log that is older than the job.
 TEST_P(StaleCopyTest, SaysThatThereIsNoJobOnlyIfTheLogHasNone) {
   Call(GetParam().kind);
   EXPECT_TRUE(replies_.empty());
@@ -104,7 +104,7 @@
                       JobVerdict::kNoSuchJob, true},
         StaleCopyCase{"cancel_behind", JobCallKind::kCancel, Copy::kBehind,
                       JobVerdict::kCancelled, true},
-        // It holds whatever the log has.
+        // The cancel is effective whatever the log contains.
         StaleCopyCase{"cancel_unknown", JobCallKind::kCancel, Copy::kUnknown,
                       JobVerdict::kCancelled, true}),
     [](const auto& info) { return info.param.name; });
@@ -112,7 +112,7 @@
 struct OldQueuesCase {
   std::string name;
   JobCallKind kind = JobCallKind::kQuery;
-  // Since the operators' log was read to its end.
+  // Time since the log of the operators was read to its end.
   milliseconds age{0};
   JobVerdict verdict = JobVerdict::kUnavailable;
 };
@@ -120,9 +120,10 @@
 class OldQueuesTest : public StaleEntryTest,
                       public testing::WithParamInterface<OldQueuesCase> {};
 
-// Guards against a job said to be none, as its queue is too new to be known.
-TEST_P(OldQueuesTest, SayNothingCertainOfAnIdThatIsNone) {
-  Pass(GetParam().age);
+// Guards against an answer that a job does not exist because its queue is too
+// new to be known to the entry.
+TEST_P(OldQueuesTest, DoNotConfirmThatAJobIsUnknown) {
+  AdvanceTime(GetParam().age);
   Call(GetParam().kind, std::string("new/") + kJob);
   AnswerEndRead(ReadOutcome::kRecords, kEnd);
   ASSERT_EQ(replies_.size(), 1U);
@@ -149,7 +150,7 @@
 
 using CancelAheadTest = StaleEntryTest;
 
-// Guards against a log that is filled by cancels of one id that is not there.
+// Guards against a log that fills with cancels of one id that does not exist.
 TEST_F(CancelAheadTest, IsStoredOnce) {
   Call(JobCallKind::kCancel);
   AnswerAppends();
@@ -159,25 +160,27 @@
   AnswerEndRead(ReadOutcome::kRecords, kEnd + 1);
   AnswerRead(ReadOutcome::kRecords, {*cancellation});
   appended_.clear();
-  Pass(milliseconds(100));
+  AdvanceTime(milliseconds(100));
   Call(JobCallKind::kCancel);
   EXPECT_TRUE(AnswerEndRead(ReadOutcome::kRecords, kEnd + 1));
   EXPECT_EQ(replies_, std::vector(2, JobVerdict::kNoSuchJob));
   EXPECT_FALSE(Appended(RecordKind::kCancellation).has_value());
 }
 
-// Guards against "no such job" out of the copy of a log that was put back.
-TEST_F(CancelAheadTest, LogThatEndsBeforeTheCopyShowsNothing) {
+// Guards against the answer "no such job" from a copy of a log that was
+// restored to an earlier state.
+TEST_F(CancelAheadTest, LogThatEndsBeforeTheCopyProvesNothing) {
   Call(JobCallKind::kQuery);
   AnswerEndRead(ReadOutcome::kRecords, kEnd - 1);
   EXPECT_EQ(replies_, std::vector(1, JobVerdict::kUnavailable));
 }
 
-// Guards against a question that is refused since the next one's read failed.
+// Guards against a query that is rejected because the read for the next query
+// failed.
 TEST_F(CancelAheadTest, FailedReadIsNoAnswerToThoseBefore) {
   Call(JobCallKind::kQuery);
   AnswerEndRead(ReadOutcome::kRecords, kEnd + 1);
-  Pass(milliseconds(100));
+  AdvanceTime(milliseconds(100));
   Call(JobCallKind::kQuery);
   AnswerEndRead(ReadOutcome::kFailed, 0);
   EXPECT_EQ(replies_, std::vector(1, JobVerdict::kUnavailable));
@@ -186,8 +189,8 @@
             (std::vector{JobVerdict::kUnavailable, JobVerdict::kState}));
 }
 
-// Guards against a job that runs although its cancel was acknowledged, since
-// its hand-in was stored after that.
+// Guards against a job that runs although its cancel was acknowledged, because
+// its submission was stored after the cancel.
 TEST_F(CancelAheadTest, HoldsForAJobThatIsStoredLater) {
   Call(JobCallKind::kCancel);
   AnswerAppends();
--- a/Tests/Jobs/standing_explorer_test.cc
+++ b/Tests/Jobs/standing_explorer_test.cc
@@ -1,9 +1,9 @@
-// Random orders of events and faults over virtual time, with jobs of all kinds
-// and ample room.
+// Explores random orders of events and faults in virtual time, with jobs of all
+// kinds and ample room.
 //
-// Symptom watched for: a job has nothing running for 3 s although no fault is
-// in force and there is room: a wake-up of placement that never comes, a worker
-// that stays refused, a run that nobody has.
+// Checks that no job is starved for 3 s while no fault is active and there is
+// room. Such a job may wait for a wake-up of placement that never comes, for a
+// worker that stays rejected, or for a run that no worker has.
 
 #include <gtest/gtest.h>
 
@@ -19,112 +19,112 @@
 using std::chrono::seconds;
 
 constexpr int kRounds = 8;
-constexpr int kMostFaults = 3;
-constexpr std::size_t kMostLasting = 2;
-constexpr std::size_t kFewestAgents = 3;
-constexpr std::size_t kMostAgents = 6;
+constexpr int kMaxFaults = 3;
+constexpr std::size_t kMaxLongRunning = 2;
+constexpr std::size_t kMinAgents = 3;
+constexpr std::size_t kMaxAgents = 6;
 
 enum : int64_t {
-  kVanish = kLastPlainFault + 1,
-  kLeave,
+  kRemoveUnplanned = kLastCommonFault + 1,
+  kRemovePlanned,
   kDrain,
   kAdd,
   kStopOwner,
   kFaults,
 };
 
-auto SubmitJobs(JobWorld& world) -> void {
-  auto& time = world.time();
-  world.Submit({static_cast<uint32_t>(time.Pick(1, 3)),
-                static_cast<uint32_t>(time.Pick(1, 2))});
-  world.SubmitFilling(static_cast<uint32_t>(time.Pick(1, 2)));
-  const auto lasting = world.lasting();
-  if (lasting.size() < kMostLasting) {
-    world.SubmitLasting(1);
+auto SubmitJobs(SimulatedCluster& cluster) -> void {
+  auto& time = cluster.time();
+  cluster.Submit({static_cast<uint32_t>(time.Pick(1, 3)),
+                  static_cast<uint32_t>(time.Pick(1, 2))});
+  cluster.SubmitOpportunistic(static_cast<uint32_t>(time.Pick(1, 2)));
+  const auto long_running_jobs = cluster.long_running_jobs();
+  if (long_running_jobs.size() < kMaxLongRunning) {
+    cluster.SubmitLongRunning(1);
   } else if (time.Chance(0.5)) {
-    world.Cancel(lasting.front());
+    cluster.Cancel(long_running_jobs.front());
   }
 }
 
-auto InjectFault(JobWorld& world) -> void {
-  auto& time = world.time();
-  const auto agents = world.Agents();
+auto InjectFault(SimulatedCluster& cluster) -> void {
+  auto& time = cluster.time();
+  const auto agents = cluster.Agents();
   const auto pick = time.Pick(0, static_cast<int64_t>(agents.size()) - 1);
   const int agent = agents[static_cast<std::size_t>(pick)];
-  const auto entry = static_cast<int>(time.Pick(0, world.entries() - 1));
-  const FaultPlace place{entry, agent, time.Milliseconds(300, 6000)};
+  const auto entry = static_cast<int>(time.Pick(0, cluster.entries() - 1));
+  const FaultTarget target{entry, agent, time.Milliseconds(300, 6000)};
   const auto fault = time.Pick(0, kFaults - 1);
-  const bool may_go = agents.size() > kFewestAgents;
-  world.NoteFault();
-  if (fault <= kLastPlainFault) {
-    MakeFault(world, fault, place);
+  const bool removable = agents.size() > kMinAgents;
+  cluster.RecordFault();
+  if (fault <= kLastCommonFault) {
+    ApplyFault(cluster, fault, target);
     return;
   }
-  world.Trace("SCALE " + std::to_string(fault) + " agent " +
-              std::to_string(agent));
+  cluster.Trace("SCALE " + std::to_string(fault) + " agent " +
+                std::to_string(agent));
   switch (fault) {
-    case kVanish:
-    case kLeave:
-      if (may_go) {
-        world.RemoveAgent(agent, fault == kLeave);
+    case kRemoveUnplanned:
+    case kRemovePlanned:
+      if (removable) {
+        cluster.RemoveAgent(agent, fault == kRemovePlanned);
       }
       break;
     case kDrain:
-      world.worker(agent).SetDraining(true);
-      time.After(time.Milliseconds(500, 4000), [&world, agent]() -> void {
-        world.NoteFault();
-        world.worker(agent).SetDraining(false);
+      cluster.worker(agent).SetDraining(true);
+      time.After(time.Milliseconds(500, 4000), [&cluster, agent]() -> void {
+        cluster.RecordFault();
+        cluster.worker(agent).SetDraining(false);
       });
       break;
     case kAdd:
-      if (agents.size() < kMostAgents) {
-        world.AddAgent();
+      if (agents.size() < kMaxAgents) {
+        cluster.AddAgent();
       }
       break;
     default:
-      world.StopEntry(std::max(world.Owner(), 0));
+      cluster.StopEntry(std::max(cluster.Owner(), 0));
   }
 }
 
-auto PlayRound(JobWorld& world) -> void {
-  auto& time = world.time();
-  SubmitJobs(world);
-  for (auto faults = time.Pick(1, kMostFaults); faults > 0; --faults) {
-    InjectFault(world);
-    world.RunFor(time.Milliseconds(50, 2500));
+auto RunRound(SimulatedCluster& cluster) -> void {
+  auto& time = cluster.time();
+  SubmitJobs(cluster);
+  for (auto faults = time.Pick(1, kMaxFaults); faults > 0; --faults) {
+    InjectFault(cluster);
+    cluster.RunFor(time.Milliseconds(50, 2500));
   }
-  SubmitJobs(world);
-  world.RunFor(time.Milliseconds(100, 2000));
-  world.HealAll();
-  world.RunFor(time.Milliseconds(6000, 14000));
-  // Without a fault since a while.
-  SubmitJobs(world);
-  world.RunFor(time.Milliseconds(500, 4000));
+  SubmitJobs(cluster);
+  cluster.RunFor(time.Milliseconds(100, 2000));
+  cluster.HealAll();
+  cluster.RunFor(time.Milliseconds(6000, 14000));
+  // Submits jobs again when no fault has been active for some time.
+  SubmitJobs(cluster);
+  cluster.RunFor(time.Milliseconds(500, 4000));
 }
 
 class StandingExplorerTest : public testing::TestWithParam<uint64_t> {};
 
-// Guards against jobs that stand although they could run.
+// Guards against jobs that are starved although their tasks could run.
 TEST_P(StandingExplorerTest, JobsWithRoomHaveSomethingRunning) {
-  JobWorldOptions options;
+  SimulatedClusterOptions options;
   options.seed = GetParam();
   options.agents = 4;
   options.failing_runs = 0.1;
   options.paced_registration = true;
   options.keep_order = true;
-  options.check_standing = true;
-  JobWorld world(options);
-  world.RunFor(seconds(4));
+  options.check_starvation = true;
+  SimulatedCluster cluster(options);
+  cluster.RunFor(seconds(4));
   for (int round = 0; round < kRounds; ++round) {
-    PlayRound(world);
+    RunRound(cluster);
   }
-  world.HealAll();
-  world.RunFor(seconds(60));
-  for (const auto& problem : world.problems()) {
+  cluster.HealAll();
+  cluster.RunFor(seconds(60));
+  for (const auto& problem : cluster.problems()) {
     ADD_FAILURE() << problem;
   }
-  EXPECT_GE(world.Owner(), 0);
-  EXPECT_FALSE(world.accepted().empty());
+  EXPECT_GE(cluster.Owner(), 0);
+  EXPECT_FALSE(cluster.accepted().empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, StandingExplorerTest, ExplorerSeeds(60));
--- a/Tests/Jobs/takeover_test.cc
+++ b/Tests/Jobs/takeover_test.cc
@@ -1,13 +1,13 @@
-// Tasks of before a takeover, with workers that go for good around it. The
-// events are written out with their times, so that a test stays the same
-// sequence whatever else changes.
+// Tasks that were started before a takeover, with workers that are removed
+// permanently at about that time. The events have fixed times, so that each
+// test keeps its sequence when other code changes.
 
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <string>
 
-#include "Tests/Jobs/job_world.h"
+#include "Tests/Jobs/simulated_cluster.h"
 
 namespace rhubarbhaven::jobs {
 namespace {
@@ -18,88 +18,89 @@
 constexpr uint32_t kTasks = 6;
 constexpr int kLostWorker = 0;
 constexpr int kCrashedWorker = 1;
-// The owner is away for so long, and another entry claims the cell after 1.6 to
-// 2 s of silence.
-constexpr milliseconds kAway{4000};
-// After the owner's end, and before the next one.
-constexpr milliseconds kCrash{1000};
+// How long the owner is unavailable. Another entry claims the cell after 1.6 to
+// 2 s without a renewal.
+constexpr milliseconds kOwnerDowntime{4000};
+// Falls after the end of the owner and before the next owner.
+constexpr milliseconds kCrashDelay{1000};
 
-// How the owner ends. To the next one it may always be only cut off from the
-// log, and go on.
-enum class Ending { kKilled, kFrozen, kCutOff };
+// How the owner fails. The next owner can never exclude that it is only cut off
+// from the log and goes on.
+enum class OwnerFailure { kKilled, kFrozen, kCutOff };
 
 struct TakeoverCase {
   std::string name;
-  // The worker leaves as planned, and its agent tells so before it ends.
+  // The worker leaves as planned, and its agent reports that before it ends.
   bool planned = false;
-  // When worker and agent go; the owner ends at zero.
+  // When worker and agent are removed; the owner fails at zero.
   milliseconds lost_at{0};
-  Ending ending = Ending::kKilled;
+  OwnerFailure failure = OwnerFailure::kKilled;
 };
 
 class TakeoverTest : public testing::TestWithParam<TakeoverCase> {
  protected:
-  TakeoverTest() : world_(Options()) {}
+  TakeoverTest() : cluster_(Options()) {}
 
-  static auto Options() -> JobWorldOptions {
-    JobWorldOptions options;
+  static auto Options() -> SimulatedClusterOptions {
+    SimulatedClusterOptions options;
     options.paced_registration = true;
     options.keep_order = true;
-    options.check_lasting = true;
-    options.allow_census = false;
+    options.check_long_running = true;
+    options.allow_reconciliation = false;
     return options;
   }
 
   auto EndOwner(int owner) -> void {
     const auto client = "entry-" + std::to_string(owner);
-    switch (GetParam().ending) {
-      case Ending::kKilled:
-        world_.KillEntry(owner, kAway);
+    switch (GetParam().failure) {
+      case OwnerFailure::kKilled:
+        cluster_.KillEntry(owner, kOwnerDowntime);
         break;
-      case Ending::kFrozen:
-        world_.FreezeEntry(owner, kAway);
+      case OwnerFailure::kFrozen:
+        cluster_.FreezeEntry(owner, kOwnerDowntime);
         break;
-      case Ending::kCutOff:
-        world_.log().SetModeFor(client, VirtualLog::Mode::kRefuses);
-        world_.time().After(kAway, [this, client]() -> void {
-          world_.log().SetModeFor(client, VirtualLog::Mode::kServes);
+      case OwnerFailure::kCutOff:
+        cluster_.log().SetModeFor(client, VirtualLog::Mode::kRejects);
+        cluster_.time().After(kOwnerDowntime, [this, client]() -> void {
+          cluster_.log().SetModeFor(client, VirtualLog::Mode::kServes);
         });
     }
   }
 
   auto RunUntil(TimePoint when) -> void {
-    world_.RunFor(when - world_.time().now());
+    cluster_.RunFor(when - cluster_.time().now());
   }
 
-  JobWorld world_;
+  SimulatedCluster cluster_;
 };
 
-// Symptom: tasks that last stay down for some 20 s although workers have room.
-// Sequence: a worker and its agent go for good; the owner ends, and another
-// entry takes over; a worker whose tasks have to be started again crashes
-// between the two. Cause: nothing in the log said that nothing runs at the
-// agent any more, or that the owner before grants nothing to it, so the next
-// owner waited until no lease of that one could hold.
-TEST_P(TakeoverTest, HoldsUpNoTasksForAWorkerThatIsGone) {
-  world_.RunFor(seconds(4));
-  world_.SubmitLasting(kTasks);
-  world_.RunFor(seconds(2));
+// Guards against long-running tasks that stay down for about 20 s although
+// workers have room. A worker and its agent are removed permanently; the owner
+// fails and another entry takes over; a worker whose tasks must be started
+// again crashes between the two. No record in the log showed that nothing runs
+// at the agent any more, or that the previous owner grants nothing to it, so
+// the next owner waited until no lease of the previous one could be valid.
+TEST_P(TakeoverTest, DoesNotDelayTasksForALostWorker) {
+  cluster_.RunFor(seconds(4));
+  cluster_.SubmitLongRunning(kTasks);
+  cluster_.RunFor(seconds(2));
   const auto lost_at = GetParam().lost_at;
   const TimePoint end =
-      world_.time().now() - std::min(lost_at, milliseconds(0));
-  world_.time().At(end + lost_at, [this]() -> void {
-    world_.RemoveAgent(kLostWorker, GetParam().planned);
+      cluster_.time().now() - std::min(lost_at, milliseconds(0));
+  cluster_.time().At(end + lost_at, [this]() -> void {
+    cluster_.RemoveAgent(kLostWorker, GetParam().planned);
+  });
+  cluster_.time().At(end + kCrashDelay, [this]() -> void {
+    cluster_.worker(kCrashedWorker).Crash();
   });
-  world_.time().At(end + kCrash,
-                   [this]() -> void { world_.worker(kCrashedWorker).Crash(); });
   RunUntil(end);
-  const int owner = world_.Owner();
+  const int owner = cluster_.Owner();
   ASSERT_GE(owner, 0);
   EndOwner(owner);
-  world_.RunFor(seconds(25));
-  EXPECT_GE(world_.Owner(), 0);
-  EXPECT_NE(world_.Owner(), owner);
-  for (const auto& problem : world_.problems()) {
+  cluster_.RunFor(seconds(25));
+  EXPECT_GE(cluster_.Owner(), 0);
+  EXPECT_NE(cluster_.Owner(), owner);
+  for (const auto& problem : cluster_.problems()) {
     ADD_FAILURE() << problem;
   }
 }
@@ -116,154 +117,157 @@
         TakeoverCase{"gone_with_the_owner", false, milliseconds(0)},
         TakeoverCase{"gone_between_two_owners", false, milliseconds(600)},
         TakeoverCase{"gone_with_a_frozen_owner", false, milliseconds(0),
-                     Ending::kFrozen},
+                     OwnerFailure::kFrozen},
         TakeoverCase{"gone_as_the_owner_is_cut_off", false, milliseconds(1500),
-                     Ending::kCutOff}),
+                     OwnerFailure::kCutOff}),
     [](const auto& info) { return info.param.name; });
 
 // How the log fails for the entries that are not the owner.
-struct DarkCase {
+struct LogOutageCase {
   std::string name;
-  VirtualLog::Mode mode = VirtualLog::Mode::kHolds;
-  // The owner loses it as well.
+  VirtualLog::Mode mode = VirtualLog::Mode::kHoldsAppends;
+  // It fails for the owner as well.
   bool for_all = false;
   milliseconds latency{4};
-  seconds lasts{6};
+  seconds duration{6};
 };
 
-class DarkTest : public testing::TestWithParam<DarkCase> {};
+class LogOutageTest : public testing::TestWithParam<LogOutageCase> {};
 
-// Guards against a living owner that is replaced by a claim made in the dark:
-// every such change costs a census.
-TEST_P(DarkTest, LivingOwnerKeepsItsCell) {
-  JobWorldOptions options;
-  JobWorld world(options);
-  world.RunFor(seconds(4));
-  const int owner = world.Owner();
+// Guards against an active owner that is replaced by a claim made without
+// reading the log: each such change costs a reconciliation.
+TEST_P(LogOutageTest, ActiveOwnerKeepsItsCell) {
+  SimulatedClusterOptions options;
+  SimulatedCluster cluster(options);
+  cluster.RunFor(seconds(4));
+  const int owner = cluster.Owner();
   ASSERT_GE(owner, 0);
-  const uint64_t fence = world.FenceOf(owner);
+  const uint64_t fence = cluster.FenceOf(owner);
   for (int round = 0; round < 4; ++round) {
-    // The dark begins at another moment between two renewals each time.
-    world.RunFor(milliseconds(2000 + 130 * round));
-    world.log().SetLatency(GetParam().latency);
-    for (int entry = 0; entry < world.entries(); ++entry) {
+    // Each outage begins at another point between two renewals.
+    cluster.RunFor(milliseconds(2000 + 130 * round));
+    cluster.log().SetLatency(GetParam().latency);
+    for (int entry = 0; entry < cluster.entries(); ++entry) {
       if (entry != owner || GetParam().for_all) {
-        world.log().SetModeFor("entry-" + std::to_string(entry),
-                               GetParam().mode);
+        cluster.log().SetModeFor("entry-" + std::to_string(entry),
+                                 GetParam().mode);
       }
     }
-    const TimePoint over = world.time().now() + GetParam().lasts;
-    while (world.time().now() < over) {
-      world.Submit({1, 2});
-      world.RunFor(milliseconds(100));
+    const TimePoint over = cluster.time().now() + GetParam().duration;
+    while (cluster.time().now() < over) {
+      cluster.Submit({1, 2});
+      cluster.RunFor(milliseconds(100));
     }
-    world.HealAll();
+    cluster.HealAll();
   }
-  world.RunFor(seconds(3));
-  EXPECT_EQ(world.Owner(), owner);
-  EXPECT_EQ(world.FenceOf(owner), fence);
-  for (const auto& problem : world.problems()) {
+  cluster.RunFor(seconds(3));
+  EXPECT_EQ(cluster.Owner(), owner);
+  EXPECT_EQ(cluster.FenceOf(owner), fence);
+  for (const auto& problem : cluster.problems()) {
     ADD_FAILURE() << problem;
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    DarkTest,
-    testing::Values(DarkCase{"others_cut_off"},
-                    DarkCase{"others_refused", VirtualLog::Mode::kRefuses},
-                    DarkCase{"log_away_for_all", VirtualLog::Mode::kRefuses,
-                             true, milliseconds(4), seconds(5)},
-                    DarkCase{"log_silent_for_all", VirtualLog::Mode::kHolds,
-                             true, milliseconds(4), seconds(5)},
-                    DarkCase{"log_slow", VirtualLog::Mode::kServes, true,
-                             milliseconds(250), seconds(5)}),
+    LogOutageTest,
+    testing::Values(LogOutageCase{"others_cut_off"},
+                    LogOutageCase{"others_refused", VirtualLog::Mode::kRejects},
+                    LogOutageCase{"log_away_for_all",
+                                  VirtualLog::Mode::kRejects, true,
+                                  milliseconds(4), seconds(5)},
+                    LogOutageCase{"log_silent_for_all",
+                                  VirtualLog::Mode::kHoldsAppends, true,
+                                  milliseconds(4), seconds(5)},
+                    LogOutageCase{"log_slow", VirtualLog::Mode::kServes, true,
+                                  milliseconds(250), seconds(5)}),
     [](const auto& info) { return info.param.name; });
 
 // How an owner is kept from reading the log while its appends are served.
-struct BlindCase {
+struct UnreadableLogCase {
   std::string name;
   VirtualLog::Mode mode = VirtualLog::Mode::kServes;
-  // Of its reads, in bytes a second; zero without limit.
+  // Bandwidth of its reads, in bytes per second; zero for no limit.
   std::size_t bandwidth = 0;
 };
 
-class BlindnessTest : public testing::TestWithParam<BlindCase> {};
+class UnreadableLogTest : public testing::TestWithParam<UnreadableLogCase> {};
 
-// Guards against an owner that renews its claim by appends alone and learns of
-// no job that others accept, and of no cancel.
-TEST_P(BlindnessTest, IsReplacedByAnEntryThatReads) {
-  JobWorld world(JobWorldOptions{});
-  world.RunFor(seconds(4));
-  const int owner = world.Owner();
+// Guards against an owner that renews its claim by appends alone and so sees
+// neither jobs that other entries accept nor cancels.
+TEST_P(UnreadableLogTest, IsReplacedByAnEntryThatReads) {
+  SimulatedCluster cluster(SimulatedClusterOptions{});
+  cluster.RunFor(seconds(4));
+  const int owner = cluster.Owner();
   ASSERT_GE(owner, 0);
-  const auto lasting = world.SubmitLasting(1);
-  world.RunFor(seconds(2));
+  const auto long_running_job = cluster.SubmitLongRunning(1);
+  cluster.RunFor(seconds(2));
   const std::string client = "entry-" + std::to_string(owner);
-  world.log().SetModeFor(client, GetParam().mode);
-  world.log().SetBandwidthFor(client, GetParam().bandwidth);
-  const int other = (owner + 1) % world.entries();
-  world.CancelAt(other, lasting);
-  const auto job = world.Submit({1});
-  world.RunFor(seconds(5));
-  EXPECT_NE(world.Owner(), owner);
-  EXPECT_EQ(world.StateOf(other, job), JOB_COMPLETED);
-  world.HealAll();
-  world.RunFor(seconds(3));
-  world.CheckJobs();
-  for (const auto& problem : world.problems()) {
+  cluster.log().SetModeFor(client, GetParam().mode);
+  cluster.log().SetBandwidthFor(client, GetParam().bandwidth);
+  const int other = (owner + 1) % cluster.entries();
+  cluster.CancelAt(other, long_running_job);
+  const auto job = cluster.Submit({1});
+  cluster.RunFor(seconds(5));
+  EXPECT_NE(cluster.Owner(), owner);
+  EXPECT_EQ(cluster.StateOf(other, job), JOB_COMPLETED);
+  cluster.HealAll();
+  cluster.RunFor(seconds(3));
+  cluster.CheckJobs();
+  for (const auto& problem : cluster.problems()) {
     ADD_FAILURE() << problem;
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    BlindnessTest,
-    testing::Values(BlindCase{"reads_unanswered",
-                              VirtualLog::Mode::kReadsSilent},
-                    BlindCase{"reads_too_slow", VirtualLog::Mode::kServes, 40}),
+    UnreadableLogTest,
+    testing::Values(UnreadableLogCase{"reads_unanswered",
+                                      VirtualLog::Mode::kReadsUnanswered},
+                    UnreadableLogCase{"reads_too_slow",
+                                      VirtualLog::Mode::kServes, 40}),
     [](const auto& info) { return info.param.name; });
 
-// Guards against a cell without an owner while the log takes appends and nobody
-// can read it: nobody could follow.
-TEST(BlindOwnerTest, KeepsItsCellWhileNobodyReads) {
-  JobWorld world(JobWorldOptions{});
-  world.RunFor(seconds(4));
-  const int owner = world.Owner();
+// Guards against a cell without an owner while the log accepts appends and no
+// entry can read it: no other entry could take over.
+TEST(UnreadableLogOwnerTest, KeepsItsCellWhileNoEntryReads) {
+  SimulatedCluster cluster(SimulatedClusterOptions{});
+  cluster.RunFor(seconds(4));
+  const int owner = cluster.Owner();
   ASSERT_GE(owner, 0);
-  const uint64_t fence = world.FenceOf(owner);
-  for (int entry = 0; entry < world.entries(); ++entry) {
-    world.log().SetModeFor("entry-" + std::to_string(entry),
-                           VirtualLog::Mode::kReadsSilent);
+  const uint64_t fence = cluster.FenceOf(owner);
+  for (int entry = 0; entry < cluster.entries(); ++entry) {
+    cluster.log().SetModeFor("entry-" + std::to_string(entry),
+                             VirtualLog::Mode::kReadsUnanswered);
   }
-  world.RunFor(seconds(20));
-  EXPECT_EQ(world.Owner(), owner);
-  EXPECT_EQ(world.FenceOf(owner), fence);
+  cluster.RunFor(seconds(20));
+  EXPECT_EQ(cluster.Owner(), owner);
+  EXPECT_EQ(cluster.FenceOf(owner), fence);
 }
 
-// Guards against a new owner that is replaced at once: its first tries to claim
-// found that the log had moved on, and its renewals went missing after that.
+// Guards against a new owner that is replaced at once: the log had moved on at
+// its first attempts to claim, and its renewals failed afterwards.
 TEST(BusyLogTest, OwnerThatClaimedBesideAppendsKeepsItsCell) {
-  JobWorld world(JobWorldOptions{});
-  world.RunFor(seconds(4));
-  const int before = world.Owner();
+  SimulatedCluster cluster(SimulatedClusterOptions{});
+  cluster.RunFor(seconds(4));
+  const int before = cluster.Owner();
   ASSERT_GE(before, 0);
-  world.log().SetLatency(milliseconds(20));
-  world.KillEntry(before, kAway);
-  const auto run_busily = [&world](milliseconds span) -> void {
+  cluster.log().SetLatency(milliseconds(20));
+  cluster.KillEntry(before, kOwnerDowntime);
+  const auto run_load = [&cluster](milliseconds span) -> void {
     for (milliseconds at{0}; at < span; at += milliseconds(10)) {
-      world.Submit({1});
-      world.RunFor(milliseconds(10));
+      cluster.Submit({1});
+      cluster.RunFor(milliseconds(10));
     }
   };
-  run_busily(milliseconds(3000));
-  const int owner = world.Owner();
+  run_load(milliseconds(3000));
+  const int owner = cluster.Owner();
   ASSERT_GE(owner, 0);
-  const uint64_t fence = world.FenceOf(owner);
-  run_busily(milliseconds(5000));
-  EXPECT_EQ(world.Owner(), owner);
-  EXPECT_EQ(world.FenceOf(owner), fence);
-  for (const auto& problem : world.problems()) {
+  const uint64_t fence = cluster.FenceOf(owner);
+  run_load(milliseconds(5000));
+  EXPECT_EQ(cluster.Owner(), owner);
+  EXPECT_EQ(cluster.FenceOf(owner), fence);
+  for (const auto& problem : cluster.problems()) {
     ADD_FAILURE() << problem;
   }
 }
--- a/Tests/Jobs/virtual_log.cc
+++ b/Tests/Jobs/virtual_log.cc
@@ -6,9 +6,9 @@
 namespace rhubarbhaven::jobs {
 namespace {
 
-constexpr std::size_t kRepeatedAnswers = 5;
-constexpr std::size_t kPage = 50;
-constexpr std::chrono::milliseconds kReadAgain{5};
+constexpr std::size_t kMaxRecentSequences = 5;
+constexpr std::size_t kPageSize = 50;
+constexpr std::chrono::milliseconds kReadRetryInterval{5};
 constexpr std::chrono::milliseconds kReadSlack{1200};
 
 }  // namespace
@@ -64,8 +64,8 @@
   return found == client_modes_.end() ? mode_ : found->second;
 }
 
-auto VirtualLog::TransferOf(const std::string& client,
-                            const std::vector<KeyedRecord>& records) const
+auto VirtualLog::TransferTime(const std::string& client,
+                              const std::vector<KeyedRecord>& records) const
     -> std::chrono::milliseconds {
   const auto found = bandwidths_.find(client);
   if (found == bandwidths_.end() || found->second == 0) {
@@ -78,7 +78,7 @@
   return std::chrono::milliseconds(bytes * 1000 / found->second);
 }
 
-auto VirtualLog::CarryOutHeld() -> void {
+auto VirtualLog::ApplyHeldAppends() -> void {
   std::vector<HeldAppend> still_held;
   for (auto& held : std::exchange(held_, {})) {
     if (ModeOf(held.client) == Mode::kServes) {
@@ -94,11 +94,11 @@
 auto VirtualLog::Apply(const AppendCall& call) -> AppendResult {
   auto& producer = producers_[call.producer];
   AppendResult result;
-  if (producer.any && call.epoch < producer.epoch) {
+  if (producer.has_appended && call.epoch < producer.epoch) {
     result.outcome = AppendOutcome::kFenced;
     return result;
   }
-  const bool new_epoch = !producer.any || call.epoch > producer.epoch;
+  const bool new_epoch = !producer.has_appended || call.epoch > producer.epoch;
   if (!new_epoch && call.sequence != producer.sequence + 1) {
     const bool repeat =
         std::find(producer.recent.begin(), producer.recent.end(),
@@ -111,11 +111,11 @@
   if (new_epoch) {
     producer.recent.clear();
   }
-  producer.any = true;
+  producer.has_appended = true;
   producer.epoch = call.epoch;
   producer.sequence = call.sequence;
   producer.recent.push_back(call.sequence);
-  if (producer.recent.size() > kRepeatedAnswers) {
+  if (producer.recent.size() > kMaxRecentSequences) {
     producer.recent.pop_front();
   }
   for (const auto& record : call.records) {
@@ -132,18 +132,18 @@
     done(time_->now(), {outcome, 0});
   };
   switch (ModeOf(client)) {
-    case Mode::kRefuses:
+    case Mode::kRejects:
       time_->After(latency_,
                    [fail]() -> void { fail(AppendOutcome::kRejected); });
       return;
-    case Mode::kHolds:
+    case Mode::kHoldsAppends:
       held_.push_back({client, call});
       [[fallthrough]];
-    case Mode::kSilent:
+    case Mode::kUnresponsive:
       time_->After(call.timeout,
                    [fail]() -> void { fail(AppendOutcome::kUnknown); });
       return;
-    case Mode::kReadsSilent:
+    case Mode::kReadsUnanswered:
     case Mode::kServes:
       break;
   }
@@ -172,46 +172,49 @@
 
 auto VirtualLog::Read(const std::string& client,
                       const ReadCall& call,
-                      TimePoint give_up,
+                      TimePoint deadline,
                       const KeyedLogPort::OnRead& done) -> void {
   const Mode mode = ModeOf(client);
-  if (mode == Mode::kRefuses || time_->now() >= give_up) {
+  if (mode == Mode::kRejects || time_->now() >= deadline) {
     time_->After(latency_, [this, done]() -> void {
       done(time_->now(), {ReadOutcome::kFailed, {}, 0, "refused", false});
     });
     return;
   }
   const auto& topic = topics_[call.topic];
-  const bool gone = call.topic == LogTopic::kJobs && call.from < first_kept_;
+  const bool compacted =
+      call.topic == LogTopic::kJobs && call.from < first_kept_;
   const bool waits =
-      call.from >= topic.records.size() && time_->now() + kReadSlack < give_up;
-  const bool silent = mode == Mode::kSilent || mode == Mode::kHolds ||
-                      mode == Mode::kReadsSilent;
-  if (silent || (waits && !gone)) {
-    time_->After(kReadAgain, [this, client, call, give_up, done]() -> void {
-      Read(client, call, give_up, done);
-    });
+      call.from >= topic.records.size() && time_->now() + kReadSlack < deadline;
+  const bool unanswered = mode == Mode::kUnresponsive ||
+                          mode == Mode::kHoldsAppends ||
+                          mode == Mode::kReadsUnanswered;
+  if (unanswered || (waits && !compacted)) {
+    time_->After(kReadRetryInterval,
+                 [this, client, call, deadline, done]() -> void {
+                   Read(client, call, deadline, done);
+                 });
     return;
   }
   ReadResult result;
-  result.outcome = gone ? ReadOutcome::kGone : ReadOutcome::kRecords;
+  result.outcome = compacted ? ReadOutcome::kGone : ReadOutcome::kRecords;
   result.end = topic.records.size();
   std::size_t bytes = 0;
-  for (uint64_t at = call.from; !gone && at < topic.records.size(); ++at) {
+  for (uint64_t at = call.from; !compacted && at < topic.records.size(); ++at) {
     bytes += topic.records[at].key.size() + topic.records[at].value.size();
     if (bytes > call.max_bytes && !result.records.empty()) {
       break;
     }
     result.records.push_back(topic.records[at]);
   }
-  const auto takes = latency_ + TransferOf(client, result.records);
-  if (time_->now() + takes > give_up) {
-    time_->At(give_up, [this, done]() -> void {
+  const auto delay = latency_ + TransferTime(client, result.records);
+  if (time_->now() + delay > deadline) {
+    time_->At(deadline, [this, done]() -> void {
       done(time_->now(), {ReadOutcome::kFailed, {}, 0, "timeout", true});
     });
     return;
   }
-  time_->After(takes,
+  time_->After(delay,
                [this, done, result]() -> void { done(time_->now(), result); });
 }
 
@@ -230,7 +233,7 @@
   result.end = topic.records.size();
   for (auto item = topic.newest.upper_bound(call.after);
        item != topic.newest.end(); ++item) {
-    if (result.records.size() == kPage) {
+    if (result.records.size() == kPageSize) {
       result.more = true;
       break;
     }
--- a/Tests/Jobs/virtual_log.h
+++ b/Tests/Jobs/virtual_log.h
@@ -15,78 +15,79 @@
 
 namespace rhubarbhaven::jobs {
 
-// The platform's keyed log over virtual time: producers with epochs and
-// sequence numbers, newest records, history that may be dropped, and the ways
-// in which it fails.
+// Simulates the keyed log of the platform in virtual time: producers with
+// epochs and sequence numbers, newest records by key, history that may be
+// compacted, and the ways in which the log fails.
 class VirtualLog {
  public:
   enum class Mode {
     kServes,
-    kRefuses,
-    kSilent,
-    // Silent as a link that is cut: appends are carried out, unanswered, once
+    kRejects,
+    kUnresponsive,
+    // Unresponsive like a cut link: appends get no answer and are applied once
     // the client is served again.
-    kHolds,
-    // Appends are served, reads are not answered.
-    kReadsSilent,
+    kHoldsAppends,
+    // Appends are served; reads are not answered.
+    kReadsUnanswered,
   };
 
   explicit VirtualLog(VirtualTime* time) : time_(time) {}
 
-  // Calls of one client; `alive` tells whether it can still be answered.
+  // The calls of one client; `alive` returns whether it can still be answered.
   auto PortFor(const std::string& client,
                const std::function<auto()->bool>& alive) -> KeyedLogPort;
   auto SetMode(Mode mode) -> void { mode_ = mode; }
   auto SetModeFor(const std::string& client, Mode mode) -> void {
     client_modes_[client] = mode;
-    CarryOutHeld();
+    ApplyHeldAppends();
   }
   auto HealAll() -> void {
     mode_ = Mode::kServes;
     client_modes_.clear();
     bandwidths_.clear();
-    CarryOutHeld();
+    ApplyHeldAppends();
     lose_answers_ = 0;
     latency_ = kLatency;
   }
-  // Whether it fails in any way at present. A client that is served again is no
-  // fault: taken for one, it would switch off for good every check that waits
-  // for calm.
-  auto disturbed() const -> bool {
-    const bool silent = std::any_of(
+  // Whether any failure is active. A client that is served again does not count
+  // as a fault: if it did, every check that waits for a time without faults
+  // would be switched off for good.
+  auto has_fault() const -> bool {
+    const bool reads_unanswered = std::any_of(
         client_modes_.begin(), client_modes_.end(),
-        [](const auto& item) { return item.second == Mode::kReadsSilent; });
-    return disturbed_beyond_reads() || silent || !bandwidths_.empty();
+        [](const auto& item) { return item.second == Mode::kReadsUnanswered; });
+    return has_fault_beyond_reads() || reads_unanswered || !bandwidths_.empty();
   }
-  // Whether it fails in a way other than that reads of some clients are silent
-  // or slow.
-  auto disturbed_beyond_reads() const -> bool {
+  // Whether a failure is active other than unanswered or slow reads of some
+  // clients.
+  auto has_fault_beyond_reads() const -> bool {
     const bool client_fails = std::any_of(
         client_modes_.begin(), client_modes_.end(), [](const auto& item) {
           return item.second != Mode::kServes &&
-                 item.second != Mode::kReadsSilent;
+                 item.second != Mode::kReadsUnanswered;
         });
     return mode_ != Mode::kServes || client_fails || lose_answers_ > 0 ||
            latency_ != kLatency;
   }
-  // Share of appends that are done, some of them late, and not answered.
+  // Sets the share of appends that are applied, some of them late, without an
+  // answer.
   auto LoseAnswers(double share) -> void { lose_answers_ = share; }
   auto SetLatency(std::chrono::milliseconds latency) -> void {
     latency_ = latency;
   }
-  // How fast the client's reads are answered, in bytes a second; zero without
-  // limit.
+  // Sets the rate at which reads of the client are answered, in bytes per
+  // second; zero for no limit.
   auto SetBandwidthFor(const std::string& client, std::size_t bytes) -> void {
     bandwidths_[client] = bytes;
   }
-  // How often the client has asked for records.
+  // Number of reads that the client has sent.
   auto reads(const std::string& client) const -> uint64_t {
     const auto found = reads_.find(client);
     return found == reads_.end() ? 0 : found->second;
   }
-  // Drops all records but the newest of each key.
+  // Discards all records but the newest of each key.
   auto Compact() -> void { first_kept_ = end(); }
-  // Appends as an operator does, beyond failures.
+  // Appends a record as an operator does, unaffected by failures.
   auto Put(LogTopic topic, KeyedRecord record) -> void;
 
  private:
@@ -95,8 +96,9 @@
   struct Producer {
     uint64_t epoch = 0;
     uint64_t sequence = 0;
-    bool any = false;
-    // Sequence numbers whose answers are repeated.
+    bool has_appended = false;
+    // The latest sequence numbers; a repeated append with one of them is
+    // acknowledged again.
     std::deque<uint64_t> recent;
   };
   struct Topic {
@@ -110,15 +112,15 @@
   };
 
   auto ModeOf(const std::string& client) const -> Mode;
-  // What clients sent that are served again.
-  auto CarryOutHeld() -> void;
+  // Applies held appends of the clients that are served again.
+  auto ApplyHeldAppends() -> void;
   auto end() const -> uint64_t {
     const auto found = topics_.find(LogTopic::kJobs);
     return found == topics_.end() ? 0 : found->second.records.size();
   }
-  // How long the records take on their way to the client.
-  auto TransferOf(const std::string& client,
-                  const std::vector<KeyedRecord>& records) const
+  // Time that the transfer of the records to the client takes.
+  auto TransferTime(const std::string& client,
+                    const std::vector<KeyedRecord>& records) const
       -> std::chrono::milliseconds;
   auto Apply(const AppendCall& call) -> AppendResult;
   auto Append(const std::string& client,
@@ -126,7 +128,7 @@
               const KeyedLogPort::OnAppend& done) -> void;
   auto Read(const std::string& client,
             const ReadCall& call,
-            TimePoint give_up,
+            TimePoint deadline,
             const KeyedLogPort::OnRead& done) -> void;
   auto Newest(const std::string& client,
               const NewestCall& call,
--- a/Tests/Jobs/virtual_time.h
+++ b/Tests/Jobs/virtual_time.h
@@ -11,7 +11,8 @@
 
 namespace rhubarbhaven::jobs {
 
-// Events in the order of their times, and one seeded source of chance.
+// Event queue of the simulation, ordered by time, with its only source of
+// randomness, which is seeded.
 class VirtualTime {
  public:
   using Event = std::function<auto()->void>;
@@ -26,7 +27,7 @@
   auto After(Duration wait, Event event) -> void {
     At(now_ + wait, std::move(event));
   }
-  // Runs the next event; false if none is left before `end`.
+  // Runs the next event. Returns false if none is left before `end`.
   auto Step(TimePoint end) -> bool {
     if (events_.empty() || events_.begin()->first.first > end) {
       now_ = end;
--- a/Tests/Jobs/virtual_worker.cc
+++ b/Tests/Jobs/virtual_worker.cc
@@ -8,18 +8,18 @@
 namespace {
 
 constexpr uint32_t kTaskMillicores = 1000;
-constexpr uint32_t kSlowed = 10;
+constexpr uint32_t kSlowdownFactor = 10;
 constexpr std::chrono::milliseconds kCallTimeout{400};
 constexpr std::chrono::milliseconds kStopTime{100};
-constexpr std::chrono::milliseconds kListAgain{5};
-constexpr std::chrono::milliseconds kLongestLease{10000};
+constexpr std::chrono::milliseconds kListRetryInterval{5};
+constexpr std::chrono::milliseconds kMaxLease{10000};
 
 }  // namespace
 
 VirtualWorker::VirtualWorker(VirtualTime* time,
                              std::string name,
-                             WorkerWatch watch)
-    : time_(time), name_(std::move(name)), watch_(std::move(watch)) {}
+                             WorkerObserver observer)
+    : time_(time), name_(std::move(name)), observer_(std::move(observer)) {}
 
 auto VirtualWorker::Clock() const -> WorkerTime {
   return std::chrono::duration_cast<WorkerTime>(
@@ -33,10 +33,11 @@
       std::min(kAll, kAll * done.count() / Duration(run.work).count()));
 }
 
-auto VirtualWorker::RunsInRoom() const -> std::size_t {
-  return static_cast<std::size_t>(std::count_if(
-      runs_.begin(), runs_.end(),
-      [this](const auto& item) { return !watch_.fills(item.second.task); }));
+auto VirtualWorker::RunsUsingRoom() const -> std::size_t {
+  return static_cast<std::size_t>(
+      std::count_if(runs_.begin(), runs_.end(), [this](const auto& item) {
+        return !observer_.is_opportunistic(item.second.task);
+      }));
 }
 
 auto VirtualWorker::PortFor(const std::function<auto()->bool>& alive)
@@ -81,7 +82,7 @@
       });
       return;
     }
-    if (silent_ || gone_) {
+    if (unresponsive_ || removed_) {
       time_->After(call.wait + kCallTimeout, [this, guarded]() -> void {
         guarded(time_->now(), WorkerListing());
       });
@@ -96,7 +97,7 @@
 
 auto VirtualWorker::Heartbeat() -> WorkerHeartbeat {
   WorkerHeartbeat heartbeat;
-  heartbeat.worker_id = absl::StrCat(name_, "-life-", life_);
+  heartbeat.worker_id = absl::StrCat(name_, "-life-", lifetime_);
   heartbeat.sequence = ++heartbeats_;
   heartbeat.service = "service";
   heartbeat.capacity.set_millicores(kMillicores);
@@ -107,12 +108,12 @@
 }
 
 auto VirtualWorker::Crash() -> void {
-  ++life_;
+  ++lifetime_;
   down_ = false;
   runs_.clear();
-  over_.clear();
-  listed_.clear();
-  ends_ = 0;
+  last_ended_run_.clear();
+  reported_ends_.clear();
+  last_end_number_ = 0;
   fence_ = 0;
   lease_until_ = WorkerTime(0);
   draining_ = false;
@@ -122,13 +123,13 @@
   const auto runs = runs_;
   Crash();
   down_ = true;
-  time_->After(down, [this, life = life_]() -> void {
-    if (life == life_) {
+  time_->After(down, [this, lifetime = lifetime_]() -> void {
+    if (lifetime == lifetime_) {
       down_ = false;
     }
   });
   for (const auto& [task, run] : runs) {
-    watch_.on_crash(run.task);
+    observer_.on_crash(run.task);
   }
 }
 
@@ -138,20 +139,20 @@
   time_->After(after, [this, task, number]() -> void {
     const auto run = runs_.find(task);
     if (run != runs_.end() && run->second.number == number) {
-      CrashFor(watch_.back_after_crash);
+      CrashFor(observer_.restart_delay);
     }
   });
 }
 
-auto VirtualWorker::Vanish() -> void {
-  // Orders on their way come to another life, and are refused.
+auto VirtualWorker::Remove() -> void {
+  // Orders in transit carry the earlier worker id and are rejected.
   Crash();
-  gone_ = true;
+  removed_ = true;
 }
 
 auto VirtualWorker::HasRoom() const -> bool {
-  return !gone_ && !down_ && !draining_ &&
-         (RunsInRoom() + 1) * kTaskMillicores <= kMillicores;
+  return !removed_ && !down_ && !draining_ &&
+         (RunsUsingRoom() + 1) * kTaskMillicores <= kMillicores;
 }
 
 auto VirtualWorker::RunsOneOf(const std::string& prefix) const -> bool {
@@ -167,12 +168,12 @@
   if (Clock() < lease_until_) {
     return;
   }
-  for (auto& end : listed_) {
-    end.lapsed_since = true;
+  for (auto& end : reported_ends_) {
+    end.lease_lapsed = true;
   }
   while (!runs_.empty()) {
     EndRun(runs_.begin()->first, RUN_LEASE_LAPSED);
-    listed_.back().lapsed_since = true;
+    reported_ends_.back().lease_lapsed = true;
   }
 }
 
@@ -181,13 +182,13 @@
     return;
   }
   lease_until_ =
-      std::max(lease_until_, std::min(deadline, Clock() + kLongestLease));
+      std::max(lease_until_, std::min(deadline, Clock() + kMaxLease));
   time_->After(lease_until_ - Clock() + std::chrono::milliseconds(1),
                [this]() -> void { ExpireLease(); });
 }
 
 auto VirtualWorker::Start(const StartCall& call) -> WorkerCallOutcome {
-  if (call.worker_id != absl::StrCat(name_, "-life-", life_)) {
+  if (call.worker_id != absl::StrCat(name_, "-life-", lifetime_)) {
     return WorkerCallOutcome::kOtherWorkerId;
   }
   if (call.fence < fence_) {
@@ -198,39 +199,39 @@
     return WorkerCallOutcome::kLate;
   }
   const std::string task = DescribeTask(call.task);
-  const auto there = runs_.find(task);
-  if (there != runs_.end() && there->second.run == call.run) {
+  const auto existing = runs_.find(task);
+  if (existing != runs_.end() && existing->second.run == call.run) {
     ExtendLease(call.deadline);
     return WorkerCallOutcome::kDone;
   }
   ExtendLease(call.deadline);
-  const auto over = over_.find(task);
-  if (over != over_.end() && call.run <= over->second) {
+  const auto over = last_ended_run_.find(task);
+  if (over != last_ended_run_.end() && call.run <= over->second) {
     return WorkerCallOutcome::kRunOver;
   }
-  if (!watch_.fills(call.task) &&
-      (RunsInRoom() + 1) * kTaskMillicores > kMillicores) {
+  if (!observer_.is_opportunistic(call.task) &&
+      (RunsUsingRoom() + 1) * kTaskMillicores > kMillicores) {
     return WorkerCallOutcome::kNoRoom;
   }
-  const uint64_t number = ++run_numbers_;
-  const auto work = watch_.work(call.task);
+  const uint64_t number = ++last_run_number_;
+  const auto work = observer_.work(call.task);
   runs_[task] = {call.task, call.run, false, number, time_->now(), work};
-  watch_.on_start(name_, call.task, call.run);
-  if (const auto after = watch_.crashes_after(call.task)) {
+  observer_.on_start(name_, call.task, call.run);
+  if (const auto after = observer_.crashes_after(call.task)) {
     CrashLater(task, number, *after);
   }
   time_->After(work, [this, task, number]() -> void {
     const auto run = runs_.find(task);
     if (run != runs_.end() && run->second.number == number &&
         !run->second.stopping) {
-      EndRun(task, watch_.fails(run->second.task) ? RUN_FAILED : RUN_DONE);
+      EndRun(task, observer_.fails(run->second.task) ? RUN_FAILED : RUN_DONE);
     }
   });
   return WorkerCallOutcome::kDone;
 }
 
 auto VirtualWorker::Stop(const StopCall& call) -> WorkerCallOutcome {
-  if (call.worker_id != absl::StrCat(name_, "-life-", life_)) {
+  if (call.worker_id != absl::StrCat(name_, "-life-", lifetime_)) {
     return WorkerCallOutcome::kOtherWorkerId;
   }
   if (call.fence < fence_) {
@@ -238,7 +239,7 @@
   }
   fence_ = call.fence;
   const std::string task = DescribeTask(call.task);
-  over_[task] = std::max(over_[task], call.run);
+  last_ended_run_[task] = std::max(last_ended_run_[task], call.run);
   const auto run = runs_.find(task);
   if (run != runs_.end() && run->second.run <= call.run &&
       !run->second.stopping) {
@@ -258,18 +259,18 @@
   listing.answered = true;
   listing.clock = Clock();
   listing.other_worker_id =
-      call.worker_id != absl::StrCat(name_, "-life-", life_);
+      call.worker_id != absl::StrCat(name_, "-life-", lifetime_);
   listing.fenced = call.fence < fence_;
   if (listing.other_worker_id || listing.fenced) {
     return listing;
   }
   fence_ = call.fence;
   ExtendLease(call.deadline);
-  std::erase_if(listed_, [this, &call](const End& end) -> bool {
+  std::erase_if(reported_ends_, [this, &call](const End& end) -> bool {
     if (end.row.number() > call.forget_through) {
       return false;
     }
-    watch_.on_end(end.row.task(), end.row.end(), !end.lapsed_since);
+    observer_.on_end(end.row.task(), end.row.end(), !end.lease_lapsed);
     return true;
   });
   for (const auto& [task, run] : runs_) {
@@ -277,12 +278,13 @@
     *row.mutable_task() = run.task;
     row.set_run(run.run);
     row.set_percent(PercentOf(run));
-    if (watch_.fills(run.task)) {
-      row.set_load(slowing_ ? kTaskMillicores / kSlowed : kTaskMillicores);
+    if (observer_.is_opportunistic(run.task)) {
+      row.set_load(slowed_ ? kTaskMillicores / kSlowdownFactor
+                           : kTaskMillicores);
     }
     listing.running.push_back(std::move(row));
   }
-  for (const auto& end : listed_) {
+  for (const auto& end : reported_ends_) {
     listing.ended.push_back(end.row);
   }
   return listing;
@@ -294,7 +296,7 @@
   const WorkerListing listing = List(call);
   if (listing.ended.empty() && time_->now() < until &&
       !listing.other_worker_id && !listing.fenced) {
-    time_->After(kListAgain, [this, call, until, done]() -> void {
+    time_->After(kListRetryInterval, [this, call, until, done]() -> void {
       WaitAndList(call, until, done);
     });
     return;
@@ -307,14 +309,14 @@
 auto VirtualWorker::EndRun(const std::string& task, RunEnd end) -> void {
   const auto run = runs_.find(task);
   EndedTask row;
-  row.set_number(++ends_);
+  row.set_number(++last_end_number_);
   *row.mutable_task() = run->second.task;
   row.set_run(run->second.run);
   row.set_end(end);
-  over_[task] = std::max(over_[task], run->second.run);
-  listed_.push_back({row, false});
+  last_ended_run_[task] = std::max(last_ended_run_[task], run->second.run);
+  reported_ends_.push_back({row, false});
   if (end == RUN_DONE) {
-    watch_.on_done(run->second.task);
+    observer_.on_done(run->second.task);
   }
   runs_.erase(run);
 }
@@ -325,15 +327,16 @@
     std::function<auto(const Call&)->WorkerCallOutcome> act,
     const WorkerPort::OnCall& done) -> void {
   if (down_) {
-    // Its port refuses connections, so nothing was handed over.
+    // The port rejects connections while the worker is down, so nothing was
+    // sent.
     time_->After(std::chrono::milliseconds(1), [this, done]() -> void {
       done(time_->now(), {WorkerCallOutcome::kUnhealthy});
     });
     return;
   }
-  const bool unheard = silent_ || gone_;
-  if (unheard || time_->Chance(unanswered_)) {
-    if (!unheard && time_->Chance(0.5)) {
+  const bool unreachable = unresponsive_ || removed_;
+  if (unreachable || time_->Chance(unanswered_)) {
+    if (!unreachable && time_->Chance(0.5)) {
       time_->After(time_->Milliseconds(500, 9000),
                    [call, act]() -> void { act(call); });
     }
--- a/Tests/Jobs/virtual_worker.h
+++ b/Tests/Jobs/virtual_worker.h
@@ -14,67 +14,75 @@
 
 namespace rhubarbhaven::jobs {
 
-// What a worker does that the checks of a world watch.
-struct WorkerWatch {
+// Callbacks for the events of a worker that the checks of the simulation need,
+// and settings of its tasks.
+struct WorkerObserver {
   std::function<
       auto(const std::string& worker, const TaskName&, uint64_t run)->void>
       on_start;
-  // `noted` once the end may be forgotten and its lease held all the while.
-  std::function<auto(const TaskName&, RunEnd, bool noted)->void> on_end;
-  // A run has ended well; whether that counts shows later.
+  // `recorded` if the lease held until the end was acknowledged and may be
+  // forgotten.
+  std::function<auto(const TaskName&, RunEnd, bool recorded)->void> on_end;
+  // Called when a run ends successfully. Whether its end is recorded is known
+  // only later.
   std::function<auto(const TaskName&)->void> on_done;
   std::function<auto(const TaskName&)->std::chrono::milliseconds> work;
   std::function<auto(const TaskName&)->bool> fails;
-  // Whether the task runs on spare processors, which take no room; none does
-  // where nobody says so.
-  std::function<auto(const TaskName&)->bool> fills =
+  // Whether the task runs on spare processors and so uses no room. By default,
+  // no task does.
+  std::function<auto(const TaskName&)->bool> is_opportunistic =
       [](const TaskName&) -> bool { return false; };
-  // How long after its start a run of the task crashes its worker; none for a
-  // task that does not, which all are where nobody says so.
+  // Time from the start of a run of the task until it crashes its worker, or
+  // none if it does not. By default, no task crashes its worker.
   std::function<auto(const TaskName&)->std::optional<std::chrono::milliseconds>>
       crashes_after =
           [](const TaskName&) -> std::optional<std::chrono::milliseconds> {
     return std::nullopt;
   };
-  // From a crash under a task to the worker's next life.
-  std::chrono::milliseconds back_after_crash{3300};
-  // A worker has crashed under the run of this task.
+  // Time from a crash under a task until the worker is restarted.
+  std::chrono::milliseconds restart_delay{3300};
+  // Called for each run that was on a worker when it crashed.
   std::function<auto(const TaskName&)->void> on_crash = [](const TaskName&) {};
 };
 
-// A worker over virtual time: fences, runs, leases, ends, and orders that are
-// carried out late or whose answers are lost.
+// Simulates a worker in virtual time: fences, runs, leases, ends, and orders
+// that are carried out late or whose answers are lost.
 class VirtualWorker {
  public:
-  VirtualWorker(VirtualTime* time, std::string name, WorkerWatch watch);
+  VirtualWorker(VirtualTime* time, std::string name, WorkerObserver observer);
 
   auto PortFor(const std::function<auto()->bool>& alive) -> WorkerPort;
   auto Heartbeat() -> WorkerHeartbeat;
-  // Loses all runs and comes back as a new life.
+  // Loses all runs and restarts at once with a new worker id.
   auto Crash() -> void;
-  // The same, but the next life comes only after a while, as of a process that
-  // is started anew.
+  // The same, but the worker is down for this time, like a process that is
+  // being restarted.
   auto CrashFor(std::chrono::milliseconds down) -> void;
-  // Is gone for good, with all its runs.
-  auto Vanish() -> void;
-  auto SetSilent(bool silent) -> void { silent_ = silent; }
-  // Share of orders that get no answer; half of them are carried out late.
+  // Removes the worker permanently, with all its runs.
+  auto Remove() -> void;
+  auto SetUnresponsive(bool unresponsive) -> void {
+    unresponsive_ = unresponsive;
+  }
+  // Sets the share of orders that get no answer. Half of these are carried out
+  // late.
   auto SetUnanswered(double share) -> void { unanswered_ = share; }
   auto SetDraining(bool draining) -> void { draining_ = draining; }
-  // Tells of tasks that fill that they are slowed to a tenth.
-  auto SetSlowing(bool slowing) -> void { slowing_ = slowing; }
+  // Reports that opportunistic tasks are slowed to a tenth of their speed.
+  auto SetSlowed(bool slowed) -> void { slowed_ = slowed; }
 
   auto name() const -> const std::string& { return name_; }
   auto Runs(const std::string& task) const -> bool;
-  // A task whose name begins so.
+  // Whether it runs a task whose name has this prefix.
   auto RunsOneOf(const std::string& prefix) const -> bool;
   auto running() const -> std::size_t { return runs_.size(); }
   auto draining() const -> bool { return draining_; }
-  auto gone() const -> bool { return gone_; }
-  // Whether no process is there at present.
+  auto removed() const -> bool { return removed_; }
+  // Whether its process is down at present.
   auto down() const -> bool { return down_; }
   // Whether calls to it fail at present.
-  auto disturbed() const -> bool { return silent_ || down_ || unanswered_ > 0; }
+  auto has_fault() const -> bool {
+    return unresponsive_ || down_ || unanswered_ > 0;
+  }
   // Whether it would start one more run now.
   auto HasRoom() const -> bool;
   static constexpr uint32_t kMillicores = 4000;
@@ -90,17 +98,17 @@
   };
   struct End {
     EndedTask row;
-    bool lapsed_since = false;
+    bool lease_lapsed = false;
   };
 
   auto Clock() const -> WorkerTime;
   auto PercentOf(const Run& run) const -> uint32_t;
-  // Runs that take room.
-  auto RunsInRoom() const -> std::size_t;
+  // Number of runs that use room.
+  auto RunsUsingRoom() const -> std::size_t;
   auto ExpireLease() -> void;
   auto ExtendLease(WorkerTime deadline) -> void;
   auto Start(const StartCall& call) -> WorkerCallOutcome;
-  // Crashes after a while if the run is still there.
+  // Crashes after this time if the run is still active.
   auto CrashLater(const std::string& task,
                   uint64_t number,
                   std::chrono::milliseconds after) -> void;
@@ -117,22 +125,22 @@
 
   VirtualTime* time_;
   std::string name_;
-  WorkerWatch watch_;
-  int life_ = 1;
+  WorkerObserver observer_;
+  int lifetime_ = 1;
   uint64_t heartbeats_ = 0;
-  bool silent_ = false;
+  bool unresponsive_ = false;
   bool draining_ = false;
-  bool slowing_ = false;
-  bool gone_ = false;
+  bool slowed_ = false;
+  bool removed_ = false;
   bool down_ = false;
   double unanswered_ = 0;
   uint64_t fence_ = 0;
   WorkerTime lease_until_{0};
-  uint64_t ends_ = 0;
-  uint64_t run_numbers_ = 0;
+  uint64_t last_end_number_ = 0;
+  uint64_t last_run_number_ = 0;
   std::map<std::string, Run> runs_;
-  std::map<std::string, uint64_t> over_;
-  std::vector<End> listed_;
+  std::map<std::string, uint64_t> last_ended_run_;
+  std::vector<End> reported_ends_;
 };
 
 }  // namespace rhubarbhaven::jobs
--- a/Tests/Jobs/worker_crash_test.cc
+++ b/Tests/Jobs/worker_crash_test.cc
@@ -14,13 +14,13 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr milliseconds kLook{50};
-// After the crash of a worker until its owner ends: before the worker's next
-// life is heard, as it is heard, and when its task runs again.
-constexpr milliseconds kBeforeNextLife{1500};
-constexpr milliseconds kWithNextLife{3600};
-constexpr milliseconds kAfterRestart{4500};
-constexpr milliseconds kOwnerAway{2500};
+constexpr milliseconds kCheckInterval{50};
+// Time from the crash of a worker until its owner is killed: before a heartbeat
+// of the restarted worker arrives, as it arrives, and when its task runs again.
+constexpr milliseconds kBeforeWorkerRestart{1500};
+constexpr milliseconds kAtWorkerRestart{3600};
+constexpr milliseconds kAfterTaskRestart{4500};
+constexpr milliseconds kOwnerDowntime{2500};
 
 auto PlainStep(uint32_t count) -> JobStep {
   JobStep step;
@@ -29,14 +29,14 @@
   return step;
 }
 
-auto LastingStep() -> JobStep {
+auto LongRunningStep() -> JobStep {
   JobStep step;
   step.set_count(2);
   step.set_long_running(true);
   return step;
 }
 
-auto FillingStep() -> JobStep {
+auto OpportunisticStep() -> JobStep {
   JobStep step = PlainStep(2);
   step.set_uses_spare_processors(true);
   step.set_checkpointing(true);
@@ -50,86 +50,87 @@
   return step;
 }
 
-// What goes wrong beside each crash.
-enum class Beside { kNothing, kOwnerEnds, kAgentEnds };
+// What else fails with each crash.
+enum class ConcurrentFault { kNothing, kOwnerKilled, kAgentKilled };
 
 struct CrashCase {
   std::string name;
   JobStep step;
-  Beside beside = Beside::kNothing;
-  // After the crash.
+  ConcurrentFault fault = ConcurrentFault::kNothing;
+  // Time from the crash to this fault.
   milliseconds at{0};
-  // From a run's start to the crash of its worker.
+  // Time from the start of a run to the crash of its worker.
   milliseconds crash_after{10};
-  // From the crash to the worker's next life.
-  milliseconds back_after{3300};
+  // Time from the crash to the restart of the worker.
+  milliseconds restart_after{3300};
 };
 
 class WorkerCrashTest : public testing::TestWithParam<CrashCase> {
  protected:
-  WorkerCrashTest() : world_(Options()) {}
+  WorkerCrashTest() : cluster_(Options()) {}
 
-  static auto Options() -> JobWorldOptions {
-    JobWorldOptions options;
+  static auto Options() -> SimulatedClusterOptions {
+    SimulatedClusterOptions options;
     options.agents = 6;
     options.keep_order = true;
     options.paced_registration = true;
-    options.back_after_crash = GetParam().back_after;
+    options.restart_delay = GetParam().restart_after;
     return options;
   }
 
-  auto Disturb() -> void {
-    switch (GetParam().beside) {
-      case Beside::kNothing:
+  auto InjectFault() -> void {
+    switch (GetParam().fault) {
+      case ConcurrentFault::kNothing:
         break;
-      case Beside::kOwnerEnds:
-        world_.time().After(GetParam().at, [this]() -> void {
-          world_.KillEntry(std::max(world_.Owner(), 0), kOwnerAway);
+      case ConcurrentFault::kOwnerKilled:
+        cluster_.time().After(GetParam().at, [this]() -> void {
+          cluster_.KillEntry(std::max(cluster_.Owner(), 0), kOwnerDowntime);
         });
         break;
-      case Beside::kAgentEnds:
-        world_.time().After(GetParam().at, [this]() -> void {
-          for (const int agent : world_.Agents()) {
-            if (world_.worker(agent).down()) {
-              world_.KillAgent(agent, milliseconds(200));
+      case ConcurrentFault::kAgentKilled:
+        cluster_.time().After(GetParam().at, [this]() -> void {
+          for (const int agent : cluster_.Agents()) {
+            if (cluster_.worker(agent).down()) {
+              cluster_.KillAgent(agent, milliseconds(200));
             }
           }
         });
     }
   }
 
-  // Plays on, with what goes wrong after each crash under the job's task.
+  // Runs the simulation and injects the fault after each crash under the task
+  // of the job.
   auto RunFor(const std::string& job, Duration span) -> void {
-    const TimePoint end = world_.time().now() + span;
-    int crashes = world_.crashes(job);
-    while (world_.time().now() < end) {
-      world_.RunFor(kLook);
-      if (world_.crashes(job) > crashes) {
-        crashes = world_.crashes(job);
-        Disturb();
+    const TimePoint end = cluster_.time().now() + span;
+    int crashes = cluster_.crashes(job);
+    while (cluster_.time().now() < end) {
+      cluster_.RunFor(kCheckInterval);
+      if (cluster_.crashes(job) > crashes) {
+        crashes = cluster_.crashes(job);
+        InjectFault();
       }
     }
   }
 
-  JobWorld world_;
+  SimulatedCluster cluster_;
 };
 
-// Guards against a task that crashes its workers being started without end.
-TEST_P(WorkerCrashTest, TaskIsGivenUpAndOthersGoOn) {
-  world_.RunFor(seconds(4));
-  world_.SubmitLasting(4);
-  world_.Submit({4, 2});
-  world_.RunFor(milliseconds(500));
+// Guards against a task that crashes its workers and is started without limit.
+TEST_P(WorkerCrashTest, FailsTheTaskAndRunsTheOthers) {
+  cluster_.RunFor(seconds(4));
+  cluster_.SubmitLongRunning(4);
+  cluster_.Submit({4, 2});
+  cluster_.RunFor(milliseconds(500));
   const std::string job =
-      world_.SubmitCrashing(GetParam().step, GetParam().crash_after);
+      cluster_.SubmitCrashing(GetParam().step, GetParam().crash_after);
   for (int round = 0; round < 10; ++round) {
-    world_.Submit({3});
+    cluster_.Submit({3});
     RunFor(job, seconds(3));
   }
   RunFor(job, seconds(60));
-  EXPECT_GE(world_.crashes(job), 2) << "given up on too little";
-  world_.CheckJobs();
-  for (const auto& problem : world_.problems()) {
+  EXPECT_GE(cluster_.crashes(job), 2) << "failed after too few crashes";
+  cluster_.CheckJobs();
+  for (const auto& problem : cluster_.problems()) {
     ADD_FAILURE() << problem;
   }
 }
@@ -139,30 +140,32 @@
     WorkerCrashTest,
     testing::Values(
         CrashCase{"plain", PlainStep(2)},
-        CrashCase{"lasting", LastingStep()},
-        CrashCase{"filling", FillingStep()},
+        CrashCase{"lasting", LongRunningStep()},
+        CrashCase{"filling", OpportunisticStep()},
         CrashCase{"duplicated", DuplicatedStep()},
-        CrashCase{"at_once", PlainStep(2), Beside::kNothing, milliseconds(0),
-                  milliseconds(0)},
-        CrashCase{"late_in_its_work", PlainStep(2), Beside::kNothing,
+        CrashCase{"at_once", PlainStep(2), ConcurrentFault::kNothing,
+                  milliseconds(0), milliseconds(0)},
+        CrashCase{"late_in_its_work", PlainStep(2), ConcurrentFault::kNothing,
                   milliseconds(0), milliseconds(150)},
-        // The lease has run out by then.
-        CrashCase{"worker_away_for_long", PlainStep(2), Beside::kNothing,
-                  milliseconds(0), milliseconds(10), seconds(9)},
+        // The lease has expired by then.
+        CrashCase{"worker_away_for_long", PlainStep(2),
+                  ConcurrentFault::kNothing, milliseconds(0), milliseconds(10),
+                  seconds(9)},
         CrashCase{"plain_owner_ends_before_the_next_life", PlainStep(2),
-                  Beside::kOwnerEnds, kBeforeNextLife},
+                  ConcurrentFault::kOwnerKilled, kBeforeWorkerRestart},
         CrashCase{"plain_owner_ends_with_the_next_life", PlainStep(2),
-                  Beside::kOwnerEnds, kWithNextLife},
+                  ConcurrentFault::kOwnerKilled, kAtWorkerRestart},
         CrashCase{"plain_owner_ends_after_the_restart", PlainStep(2),
-                  Beside::kOwnerEnds, kAfterRestart},
-        CrashCase{"lasting_owner_ends_before_the_next_life", LastingStep(),
-                  Beside::kOwnerEnds, kBeforeNextLife},
-        CrashCase{"lasting_owner_ends_with_the_next_life", LastingStep(),
-                  Beside::kOwnerEnds, kWithNextLife},
-        CrashCase{"filling_owner_ends_before_the_next_life", FillingStep(),
-                  Beside::kOwnerEnds, kBeforeNextLife},
-        CrashCase{"plain_agent_ends", PlainStep(2), Beside::kAgentEnds,
-                  milliseconds(1000)}),
+                  ConcurrentFault::kOwnerKilled, kAfterTaskRestart},
+        CrashCase{"lasting_owner_ends_before_the_next_life", LongRunningStep(),
+                  ConcurrentFault::kOwnerKilled, kBeforeWorkerRestart},
+        CrashCase{"lasting_owner_ends_with_the_next_life", LongRunningStep(),
+                  ConcurrentFault::kOwnerKilled, kAtWorkerRestart},
+        CrashCase{"filling_owner_ends_before_the_next_life",
+                  OpportunisticStep(), ConcurrentFault::kOwnerKilled,
+                  kBeforeWorkerRestart},
+        CrashCase{"plain_agent_ends", PlainStep(2),
+                  ConcurrentFault::kAgentKilled, milliseconds(1000)}),
     [](const auto& info) { return info.param.name; });
 
 }  // namespace
--- a/Tests/Process/platform_test.cc
+++ b/Tests/Process/platform_test.cc
@@ -269,7 +269,7 @@
   ASSERT_TRUE(Submit("00000000000000a1"));
   ASSERT_TRUE(WaitFor([this]() -> bool { return platform_->starts() > 0; },
                       seconds(60)));
-  platform_->SetLogMode(jobs::VirtualLog::Mode::kRefuses);
+  platform_->SetLogMode(jobs::VirtualLog::Mode::kRejects);
   // The first one may find out; then callers are told at once.
   Call(0, "POST", "/jobs/00000000000000a2", kBody);
   const auto answer = Call(0, "POST", "/jobs/00000000000000a3", kBody);
--- a/Tests/Soak/fault_injector.cc
+++ b/Tests/Soak/fault_injector.cc
@@ -198,13 +198,13 @@
   auto& platform = processes_->platform();
   switch (fault.kind) {
     case FaultKind::kLogRefuses:
-      platform.SetLogMode(VirtualLog::Mode::kRefuses);
+      platform.SetLogMode(VirtualLog::Mode::kRejects);
       break;
     case FaultKind::kLogSilent:
-      platform.SetLogMode(VirtualLog::Mode::kSilent);
+      platform.SetLogMode(VirtualLog::Mode::kUnresponsive);
       break;
     case FaultKind::kLogReadsSilent:
-      platform.SetLogMode(VirtualLog::Mode::kReadsSilent);
+      platform.SetLogMode(VirtualLog::Mode::kReadsUnanswered);
       break;
     case FaultKind::kLogForgets:
       platform.CompactLog();
--- a/Tests/StandIns/Platform/platform_stand_in.cc
+++ b/Tests/StandIns/Platform/platform_stand_in.cc
@@ -358,8 +358,8 @@
               [this, number]() -> void { SendHeartbeat(number); });
 }
 
-auto PlatformStandIn::MakeWatch() -> jobs::WorkerWatch {
-  jobs::WorkerWatch hooks;
+auto PlatformStandIn::MakeWatch() -> jobs::WorkerObserver {
+  jobs::WorkerObserver hooks;
   hooks.on_start = [this](const std::string& worker, const jobs::TaskName& task,
                           uint64_t run) -> void {
     ++starts_;
--- a/Tests/StandIns/Platform/platform_stand_in.h
+++ b/Tests/StandIns/Platform/platform_stand_in.h
@@ -79,7 +79,7 @@
 
   auto Run() -> void;
   auto SendHeartbeat(int number) -> void;
-  auto MakeWatch() -> jobs::WorkerWatch;
+  auto MakeWatch() -> jobs::WorkerObserver;
   auto MakeServer(
       std::function<auto(const HttpServerRequest&, const HttpResponder&)->void>
           handle) -> std::unique_ptr<HttpServer>;
