--- a/Modules/RhubarbhavenPackage.cmake
+++ b/Modules/RhubarbhavenPackage.cmake
@@ -1,13 +1,13 @@
 # rhubarbhaven_package(NAME DEPENDS target...)
 #
-# Makes the library rhubarbhaven_<name> from every source file in the current
-# folder. Users of a package include its one public header, "<Name>/<name>.h".
+# Adds the library rhubarbhaven_<name>, built from every source file in the
+# current folder. Users of a package include its one public header, "<Name>/<name>.h".
 function(rhubarbhaven_package name)
   cmake_parse_arguments(ARG "" "" "DEPENDS" ${ARGN})
   string(TOLOWER ${name} lower)
   file(GLOB sources CONFIGURE_DEPENDS "${CMAKE_CURRENT_SOURCE_DIR}/*.cc")
   if(NOT sources)
-    # Only the public header is there yet.
+    # The package has only its public header so far.
     add_library(rhubarbhaven_${lower} INTERFACE)
     target_include_directories(rhubarbhaven_${lower} INTERFACE "${CMAKE_SOURCE_DIR}/Source")
     target_link_libraries(rhubarbhaven_${lower} INTERFACE ${ARG_DEPENDS})
@@ -19,9 +19,10 @@
   target_compile_options(rhubarbhaven_${lower} PRIVATE -Wall -Wextra -Werror)
 endfunction()
 
-# rhubarbhaven_test(NAME SOURCES file... DEPENDS target... [LABEL label])
+# rhubarbhaven_test(NAME SOURCES file... DEPENDS target... [LABEL label]
+#                   [TIMEOUT seconds])
 #
-# A GoogleTest program, registered with CTest under its own name.
+# Adds a GoogleTest program, registered with CTest under its own name.
 function(rhubarbhaven_test name)
   cmake_parse_arguments(ARG "" "LABEL;TIMEOUT" "SOURCES;DEPENDS" ${ARGN})
   add_executable(${name} ${ARG_SOURCES})
@@ -39,7 +40,8 @@
 
 # rhubarbhaven_benchmark(NAME SOURCES file... DEPENDS target...)
 #
-# A Google Benchmark or bounded-figures program, run by Utilities/run-bench.
+# Adds a Google Benchmark program or one that checks bounds on what it measures,
+# run by Utilities/run-bench.
 function(rhubarbhaven_benchmark name)
   cmake_parse_arguments(ARG "" "" "SOURCES;DEPENDS" ${ARGN})
   add_executable(${name} ${ARG_SOURCES})
--- a/Tests/Benchmarks/Jobs/bench_job_owner.cc
+++ b/Tests/Benchmarks/Jobs/bench_job_owner.cc
@@ -1,4 +1,5 @@
-// What the owner of jobs spends on one message, at growing sizes of its cell.
+// Measures the time that the owner of jobs spends on one message, for cells of
+// increasing size.
 
 #include <benchmark/benchmark.h>
 #include <malloc.h>
@@ -10,7 +11,7 @@
 #include <new>
 #include <string>
 
-#include "Tests/Benchmarks/Jobs/owner_world.h"
+#include "Tests/Benchmarks/Jobs/owner_simulation.h"
 
 namespace {
 
@@ -18,7 +19,8 @@
 
 }  // namespace
 
-// Inlined, each pair would be taken for a mismatch by the compiler.
+// If these were inlined, the compiler would report a mismatch of allocation and
+// deallocation for each pair.
 [[gnu::noinline]] auto operator new(std::size_t size) -> void* {
   allocations.fetch_add(1, std::memory_order_relaxed);
   void* memory = std::malloc(size);
@@ -40,28 +42,29 @@
 namespace rhubarbhaven::jobs {
 namespace {
 
-// The bounds of the page on capacity, in microseconds of processor time.
-constexpr double kMostPerEndUs = 40.0;
-constexpr double kMostPerEmptyReportUs = 5.0;
-constexpr double kMostGrowth = 1.5;
+// Bounds that the documentation of capacity states: microseconds of processor
+// time, and the ratio of growth.
+constexpr double kMaxPerEndUs = 40.0;
+constexpr double kMaxPerEmptyReportUs = 5.0;
+constexpr double kMaxGrowth = 1.5;
 
 auto HeapBytes() -> double {
   const auto info = mallinfo2();
   return static_cast<double>(info.uordblks + info.hblkhd);
 }
 
-// Times what `act` does, after `prepare`, which is not timed.
-template <typename Prepare, typename Act, typename After>
+// Times `action`. `prepare` before it and `after` after it are not timed.
+template <typename Prepare, typename Action, typename After>
 auto Measure(benchmark::State& state,
              const Prepare& prepare,
-             const Act& act,
+             const Action& action,
              const After& after) -> void {
   uint64_t allocated = 0;
   for (auto _ : state) {
     prepare();
     const uint64_t before = allocations;
     const TimePoint begin = Clock::now();
-    act();
+    action();
     const std::chrono::duration<double> spent = Clock::now() - begin;
     allocated += allocations - before;
     state.SetIterationTime(spent.count());
@@ -71,46 +74,46 @@
       static_cast<double>(allocated), benchmark::Counter::kAvgIterations);
 }
 
-auto LoadOf(const benchmark::State& state) -> Load {
+auto GetLoad(const benchmark::State& state) -> Load {
   return static_cast<Load>(state.range(1));
 }
 
 auto ReportWithEnd(benchmark::State& state) -> void {
   const double before = HeapBytes();
-  OwnerWorld world(static_cast<int>(state.range(0)), LoadOf(state));
+  OwnerSimulation simulation(static_cast<int>(state.range(0)), GetLoad(state));
   state.counters["bytes/worker"] =
       (HeapBytes() - before) / static_cast<double>(state.range(0));
   Measure(
-      state, [&world]() -> void { world.ReportWithEnd(); },
-      [&world]() -> void { world.Deliver(); },
-      [&world]() -> void { world.Settle(); });
+      state, [&simulation]() -> void { simulation.ReportWithEnd(); },
+      [&simulation]() -> void { simulation.Deliver(); },
+      [&simulation]() -> void { simulation.StoreRecords(); });
 }
 
 auto ReportWithoutEnd(benchmark::State& state) -> void {
-  OwnerWorld world(static_cast<int>(state.range(0)), LoadOf(state));
+  OwnerSimulation simulation(static_cast<int>(state.range(0)), GetLoad(state));
   Measure(
-      state, [&world]() -> void { world.ReportWithoutEnd(); },
-      [&world]() -> void { world.Deliver(); }, []() -> void {});
+      state, [&simulation]() -> void { simulation.ReportWithoutEnd(); },
+      [&simulation]() -> void { simulation.Deliver(); }, []() -> void {});
 }
 
 auto UrgentJobOf100(benchmark::State& state) -> void {
-  OwnerWorld world(static_cast<int>(state.range(0)), LoadOf(state));
+  OwnerSimulation simulation(static_cast<int>(state.range(0)), GetLoad(state));
   constexpr uint32_t kTasks = 100;
   Measure(
       state, []() -> void {},
-      [&world]() -> void { world.AddUrgentJob(kTasks); },
-      [&world]() -> void {
+      [&simulation]() -> void { simulation.AddUrgentJob(kTasks); },
+      [&simulation]() -> void {
         for (uint32_t ended = 0; ended < kTasks; ++ended) {
-          world.ReportWithEnd();
-          world.Deliver();
+          simulation.ReportWithEnd();
+          simulation.Deliver();
         }
-        world.Settle();
+        simulation.StoreRecords();
       });
 }
 
 auto Sizes(benchmark::internal::Benchmark* bench, int iterations) -> void {
   bench->ArgNames({"workers", "load"});
-  for (const auto load : {Load::kPlain, Load::kFillers, Load::kMixed}) {
+  for (const auto load : {Load::kPlain, Load::kOpportunistic, Load::kMixed}) {
     for (const int workers : {20, 80, 320, 1280, 2500}) {
       bench->Args({workers, static_cast<int64_t>(load)});
     }
@@ -126,8 +129,9 @@
 BENCHMARK(ReportWithoutEnd)->Apply([](auto* bench) { Sizes(bench, kReports); });
 BENCHMARK(UrgentJobOf100)->Apply([](auto* bench) { Sizes(bench, kJobs); });
 
-// Prints as usual, and keeps the times for the bounds.
-class KeepingReporter : public benchmark::ConsoleReporter {
+// Prints to the console and records the times, which are compared with the
+// bounds.
+class RecordingReporter : public benchmark::ConsoleReporter {
  public:
   auto ReportRuns(const std::vector<Run>& runs) -> void override {
     for (const auto& run : runs) {
@@ -147,27 +151,28 @@
   std::map<std::string, double> times_;
 };
 
-auto Hold(const char* what, double figure, double most) -> bool {
-  if (figure <= most) {
+auto CheckBound(const char* description, double value, double bound) -> bool {
+  if (value <= bound) {
     return true;
   }
-  std::fprintf(stderr, "%s: %.2f, at most %.2f\n", what, figure, most);
+  std::fprintf(stderr, "%s: %.2f, at most %.2f\n", description, value, bound);
   return false;
 }
 
-auto BoundsHold(const KeepingReporter& times) -> bool {
-  bool hold = true;
-  for (const auto load : {Load::kPlain, Load::kFillers}) {
+auto CheckBounds(const RecordingReporter& times) -> bool {
+  bool within_bounds = true;
+  for (const auto load : {Load::kPlain, Load::kOpportunistic}) {
     const double small = times.Time("ReportWithEnd", 80, load);
     const double large = times.Time("ReportWithEnd", 1280, load);
-    hold &= Hold("an end with its replacement, us", large, kMostPerEndUs);
-    hold &=
-        Hold("its growth from 80 to 1,280 workers", large, kMostGrowth * small);
-    hold &=
-        Hold("a report without an end, us",
-             times.Time("ReportWithoutEnd", 1280, load), kMostPerEmptyReportUs);
+    within_bounds &=
+        CheckBound("an end with its replacement, us", large, kMaxPerEndUs);
+    within_bounds &= CheckBound("its growth from 80 to 1,280 workers", large,
+                                kMaxGrowth * small);
+    within_bounds &= CheckBound("a report without an end, us",
+                                times.Time("ReportWithoutEnd", 1280, load),
+                                kMaxPerEmptyReportUs);
   }
-  return hold;
+  return within_bounds;
 }
 
 }  // namespace
@@ -175,7 +180,8 @@
 
 auto main(int argc, char** argv) -> int {
   benchmark::Initialize(&argc, argv);
-  rhubarbhaven::jobs::KeepingReporter reporter;
+  rhubarbhaven::jobs::RecordingReporter reporter;
   benchmark::RunSpecifiedBenchmarks(&reporter);
-  return rhubarbhaven::jobs::BoundsHold(reporter) ? EXIT_SUCCESS : EXIT_FAILURE;
+  return rhubarbhaven::jobs::CheckBounds(reporter) ? EXIT_SUCCESS
+                                                   : EXIT_FAILURE;
 }
--- a/Tests/Benchmarks/Jobs/owner_world.cc
+++ b/Tests/Benchmarks/Jobs/owner_simulation.cc
@@ -1,4 +1,4 @@
-#include "Tests/Benchmarks/Jobs/owner_world.h"
+#include "Tests/Benchmarks/Jobs/owner_simulation.h"
 
 #include <absl/strings/str_cat.h>
 #include <absl/strings/str_format.h>
@@ -23,9 +23,10 @@
 constexpr uint32_t kServingMillicores = 3200;
 constexpr int kTargetMs = 50;
 constexpr int kServingLatencyMs = 12;
-// Tasks that fit on a worker, and the backlog beside them.
+// Number of tasks that fit on a worker, and the divisor of that number which
+// gives the backlog.
 constexpr std::size_t kTasksPerWorker = kWorkerMillicores / kTaskMillicores;
-constexpr std::size_t kBacklogPart = 5;
+constexpr std::size_t kBacklogDivisor = 5;
 constexpr std::chrono::milliseconds kPollInterval{300};
 
 auto BatchStep(uint64_t number) -> JobStep {
@@ -41,9 +42,9 @@
 
 }  // namespace
 
-OwnerWorld::OwnerWorld(int workers, Load load)
+OwnerSimulation::OwnerSimulation(int workers, Load load)
     : load_(load),
-      between_reports_(std::chrono::duration_cast<Duration>(kPollInterval) /
+      report_interval_(std::chrono::duration_cast<Duration>(kPollInterval) /
                        workers),
       owner_(JobOwnerOptions(), Hooks()) {
   rules_.set_service("service");
@@ -69,11 +70,11 @@
     agents_.emplace(agent.name, std::move(agent));
   }
   next_agent_ = agents_.begin();
-  backlog_ = agents_.size() * kTasksPerWorker / kBacklogPart;
+  backlog_ = agents_.size() * kTasksPerWorker / kBacklogDivisor;
   Begin();
 }
 
-auto OwnerWorld::Hooks() -> JobOwnerHooks {
+auto OwnerSimulation::Hooks() -> JobOwnerHooks {
   JobOwnerHooks hooks;
   hooks.send = [this](const std::string& agent, const AgentOrders& orders) {
     OnOrders(agents_.at(agent), orders);
@@ -97,14 +98,14 @@
   return hooks;
 }
 
-auto OwnerWorld::Put(KeyedRecord record) -> void {
+auto OwnerSimulation::Put(KeyedRecord record) -> void {
   record.offset = ++offset_;
   const auto change = fold_.Apply(record);
   owner_.OnChange(now_, change);
 }
 
-auto OwnerWorld::PutJob(const std::string& queue, std::vector<JobStep> steps)
-    -> void {
+auto OwnerSimulation::PutJob(const std::string& queue,
+                             std::vector<JobStep> steps) -> void {
   Job job;
   job.set_id(absl::StrFormat("%016x", ++next_job_));
   job.set_queue(queue);
@@ -119,10 +120,10 @@
   Put(MakeRecord(RecordKind::kJob, job.id(), job));
 }
 
-auto OwnerWorld::AddJob() -> void {
+auto OwnerSimulation::AddJob() -> void {
   const uint64_t number = next_job_;
   auto step = BatchStep(number);
-  if (load_ == Load::kFillers) {
+  if (load_ == Load::kOpportunistic) {
     step.set_uses_spare_processors(true);
   }
   if (load_ == Load::kMixed) {
@@ -144,7 +145,7 @@
   PutJob(kBatchQueue, {step});
 }
 
-auto OwnerWorld::AddLasting() -> void {
+auto OwnerSimulation::AddLongRunning() -> void {
   for (int image = 0; image < kServingPerWorker; ++image) {
     JobStep step;
     step.set_count(static_cast<uint32_t>(agents_.size()));
@@ -157,15 +158,15 @@
   }
 }
 
-auto OwnerWorld::Begin() -> void {
+auto OwnerSimulation::Begin() -> void {
   owner_.Begin(now_, kFence, &fold_, {now_, now_});
   for (std::size_t number = 0; number < agents_.size(); ++number) {
     ReportWithoutEnd();
     Deliver();
   }
-  Settle();
-  if (load_ == Load::kFillers) {
-    AddLasting();
+  StoreRecords();
+  if (load_ == Load::kOpportunistic) {
+    AddLongRunning();
   }
   constexpr int kRoundsToFill = 4;
   for (int round = 0; round < kRoundsToFill; ++round) {
@@ -173,19 +174,19 @@
       ReportWithoutEnd();
       Deliver();
     }
-    FillUp();
+    RefillBacklog();
   }
-  Settle();
+  StoreRecords();
 }
 
-auto OwnerWorld::FillUp() -> void {
+auto OwnerSimulation::RefillBacklog() -> void {
   while (waiting_ < backlog_) {
     AddJob();
     owner_.Tick(now_);
   }
 }
 
-auto OwnerWorld::NextAgent() -> Agent& {
+auto OwnerSimulation::NextAgent() -> Agent& {
   Agent& agent = next_agent_->second;
   if (++next_agent_ == agents_.end()) {
     next_agent_ = agents_.begin();
@@ -193,8 +194,8 @@
   return agent;
 }
 
-auto OwnerWorld::MakeReport(Agent& agent) -> AgentReport& {
-  now_ += between_reports_;
+auto OwnerSimulation::MakeReport(Agent& agent) -> AgentReport& {
+  now_ += report_interval_;
   reporting_ = &agent;
   auto& report = agent.report;
   report.clear_running();
@@ -210,7 +211,7 @@
   return report;
 }
 
-auto OwnerWorld::ReportWithoutEnd() -> const AgentReport& {
+auto OwnerSimulation::ReportWithoutEnd() -> const AgentReport& {
   Agent& agent = NextAgent();
   auto& report = MakeReport(agent);
   for (const auto& run : agent.runs) {
@@ -223,8 +224,8 @@
   return report;
 }
 
-auto OwnerWorld::ReportWithEnd() -> const AgentReport& {
-  for (std::size_t looked = 0; looked < agents_.size(); ++looked) {
+auto OwnerSimulation::ReportWithEnd() -> const AgentReport& {
+  for (std::size_t checked = 0; checked < agents_.size(); ++checked) {
     auto& runs = next_agent_->second.runs;
     for (auto run = runs.begin(); run != runs.end(); ++run) {
       if (!run->ends) {
@@ -247,28 +248,29 @@
   return ReportWithoutEnd();
 }
 
-auto OwnerWorld::Deliver() -> void {
+auto OwnerSimulation::Deliver() -> void {
   owner_.OnReport(now_, reporting_->name, reporting_->report);
   owner_.Tick(now_);
 }
 
-auto OwnerWorld::Settle() -> void {
+auto OwnerSimulation::StoreRecords() -> void {
   for (const auto& record : owner_.TakeBatch()) {
     Put(record);
   }
   owner_.OnBatchStored();
   owner_.Tick(now_);
-  FillUp();
+  RefillBacklog();
 }
 
-auto OwnerWorld::AddUrgentJob(uint32_t tasks) -> void {
+auto OwnerSimulation::AddUrgentJob(uint32_t tasks) -> void {
   auto step = BatchStep(next_job_);
   step.set_count(tasks);
   PutJob(kUrgentQueue, {step});
   owner_.Tick(now_);
 }
 
-auto OwnerWorld::OnOrders(Agent& agent, const AgentOrders& orders) -> void {
+auto OwnerSimulation::OnOrders(Agent& agent, const AgentOrders& orders)
+    -> void {
   for (const auto& start : orders.starts()) {
     agent.started_orders.push_back(start.order());
     const auto* entry = fold_.Find(start.task().job());
--- a/Tests/Benchmarks/Jobs/owner_world.h
+++ b/Tests/Benchmarks/Jobs/owner_simulation.h
@@ -1,5 +1,5 @@
-#ifndef RHUBARBHAVEN_TESTS_BENCHMARKS_JOBS_OWNER_WORLD_H_
-#define RHUBARBHAVEN_TESTS_BENCHMARKS_JOBS_OWNER_WORLD_H_
+#ifndef RHUBARBHAVEN_TESTS_BENCHMARKS_JOBS_OWNER_SIMULATION_H_
+#define RHUBARBHAVEN_TESTS_BENCHMARKS_JOBS_OWNER_SIMULATION_H_
 
 #include <cstdint>
 #include <map>
@@ -10,34 +10,35 @@
 
 namespace rhubarbhaven::jobs {
 
-// What the tasks of a world ask for.
+// Requirements of the tasks of a simulation.
 enum class Load {
   kPlain,
-  // Tasks that serve on every worker, and fillers beside them.
-  kFillers,
-  // Gangs, labels, limits a worker, and plain tasks.
+  // Serving tasks on every worker, and opportunistic tasks beside them.
+  kOpportunistic,
+  // Gangs, required labels, limits per worker, and plain tasks.
   kMixed,
 };
 
-// An owner, its log and its agents in virtual time. Agents carry out at once
-// what they are told; more jobs are open than there is room for, by a fifth.
-class OwnerWorld {
+// Simulates an owner, its log and its agents in virtual time. Agents execute
+// orders immediately. The open jobs exceed the capacity by a fifth.
+class OwnerSimulation {
  public:
-  OwnerWorld(int workers, Load load);
-  OwnerWorld(const OwnerWorld&) = delete;
-  auto operator=(const OwnerWorld&) -> OwnerWorld& = delete;
-  ~OwnerWorld() = default;
+  OwnerSimulation(int workers, Load load);
+  OwnerSimulation(const OwnerSimulation&) = delete;
+  auto operator=(const OwnerSimulation&) -> OwnerSimulation& = delete;
+  ~OwnerSimulation() = default;
 
-  // The next agent's report, with the end of one of its runs if it has one
-  // that ends.
+  // Makes the report of the next agent that has a run which can end, and ends
+  // one such run. Makes a report without an end if there is no such agent.
   auto ReportWithEnd() -> const AgentReport&;
   auto ReportWithoutEnd() -> const AgentReport&;
-  // Takes the report last made, and decides.
+  // Delivers the last report to the owner, which then decides.
   auto Deliver() -> void;
-  // Lets the log store what the owner has to say, and adds jobs for those that
-  // are done. Not part of what is measured.
-  auto Settle() -> void;
-  // Adds a job of so many tasks at the head of the queue, and decides.
+  // Stores the owner's records in the log and adds jobs in place of completed
+  // ones. Not measured.
+  auto StoreRecords() -> void;
+  // Adds a job of `tasks` tasks at the head of the queue and lets the owner
+  // decide.
   auto AddUrgentJob(uint32_t tasks) -> void;
 
   auto tasks_running() const -> std::size_t { return running_; }
@@ -61,9 +62,9 @@
   auto Put(KeyedRecord record) -> void;
   auto PutJob(const std::string& queue, std::vector<JobStep> steps) -> void;
   auto AddJob() -> void;
-  auto AddLasting() -> void;
+  auto AddLongRunning() -> void;
   auto Begin() -> void;
-  auto FillUp() -> void;
+  auto RefillBacklog() -> void;
   auto OnOrders(Agent& agent, const AgentOrders& orders) -> void;
   auto NextAgent() -> Agent&;
   auto MakeReport(Agent& agent) -> AgentReport&;
@@ -73,11 +74,11 @@
   std::map<std::string, Agent>::iterator next_agent_;
   Agent* reporting_ = nullptr;
   TimePoint now_{std::chrono::seconds(1000)};
-  Duration between_reports_{0};
+  Duration report_interval_{0};
   uint64_t offset_ = 0;
   uint64_t next_job_ = 0;
   std::size_t running_ = 0;
-  // Tasks that have no run yet.
+  // Number of tasks that have no run yet.
   std::size_t waiting_ = 0;
   std::size_t backlog_ = 0;
   QueueRules rules_;
@@ -88,4 +89,4 @@
 
 }  // namespace rhubarbhaven::jobs
 
-#endif  // RHUBARBHAVEN_TESTS_BENCHMARKS_JOBS_OWNER_WORLD_H_
+#endif  // RHUBARBHAVEN_TESTS_BENCHMARKS_JOBS_OWNER_SIMULATION_H_
--- a/Tests/Benchmarks/Process/bench_agents.cc
+++ b/Tests/Benchmarks/Process/bench_agents.cc
@@ -1,7 +1,8 @@
-// What the control of many agents costs on real processes: bytes, processor
-// time and memory of each agent, entry and stream as the number of agents
-// grows, the time until a change is in force everywhere, and the start rate.
-// Prints tables for docs/CAPACITY.md; bounds are on ratios between sizes.
+// Measures the cost of controlling many agents with real processes: bytes,
+// processor time and memory of each agent and entry, and appends to the log, as
+// the number of agents grows; the time until a change is applied everywhere;
+// and the rate of task starts. Prints tables for docs/CAPACITY.md. The bounds
+// apply to ratios between sizes.
 
 #include <unistd.h>
 
@@ -16,7 +17,8 @@
 
 constexpr std::chrono::seconds kIdleTime{10};
 constexpr int kTasksPerAgent = 4;
-// An idle agent may cost this much more among many agents than among few.
+// Bound on the ratio of the bytes of an idle agent with 100 agents to those
+// with 11 agents.
 constexpr double kGrowthBound = 2.0;
 
 struct Usage {
@@ -26,7 +28,7 @@
   TimePoint at;
 };
 
-auto UsageOf(Deployment& deployment, const std::string& name) -> Usage {
+auto ReadUsage(Deployment& deployment, const std::string& name) -> Usage {
   Usage usage;
   usage.at = Clock::now();
   const auto pid = std::to_string(deployment.process(name).pid());
@@ -61,18 +63,18 @@
   double bytes_per_s = 0;
 };
 
-// Mean over the processes of a kind, between two looks.
-class Watch {
+// Computes the mean rates of the processes of a kind between two samples.
+class UsageSampler {
  public:
-  Watch(Deployment* deployment, const std::string& kind, int count)
+  UsageSampler(Deployment* deployment, const std::string& kind, int count)
       : deployment_(deployment) {
     for (int i = 0; i < count; ++i) {
       names_.push_back(kind + "-" + std::to_string(i));
     }
-    before_ = Look();
+    before_ = SampleUsage();
   }
   auto Finish() -> Rates {
-    const auto after = Look();
+    const auto after = SampleUsage();
     Rates mean;
     for (std::size_t i = 0; i < names_.size(); ++i) {
       const double seconds =
@@ -87,10 +89,10 @@
   }
 
  private:
-  auto Look() -> std::vector<Usage> {
+  auto SampleUsage() -> std::vector<Usage> {
     std::vector<Usage> usages;
     for (const auto& name : names_) {
-      usages.push_back(UsageOf(*deployment_, name));
+      usages.push_back(ReadUsage(*deployment_, name));
     }
     return usages;
   }
@@ -100,12 +102,13 @@
   std::vector<Usage> before_;
 };
 
-auto Print(int agents, const char* what, const Rates& rates) -> void {
-  std::printf("%6d  %-14s %8.2f %% core %8.1f MB %9.0f bytes/s\n", agents, what,
-              rates.cpu_percent, rates.memory_mb, rates.bytes_per_s);
+auto Print(int agents, const char* description, const Rates& rates) -> void {
+  std::printf("%6d  %-14s %8.2f %% core %8.1f MB %9.0f bytes/s\n", agents,
+              description, rates.cpu_percent, rates.memory_mb,
+              rates.bytes_per_s);
 }
 
-auto AppendsOf(Deployment& deployment) -> double {
+auto CountAppends(Deployment& deployment) -> double {
   HttpClient http;
   HttpClientRequest request;
   request.url = deployment.Url("log") + "/v1/stats";
@@ -120,17 +123,18 @@
 }
 
 auto MeasureConfig(Deployment& deployment, int agents) -> void {
-  const TimePoint begun = Clock::now();
+  const TimePoint started_at = Clock::now();
   const int code = deployment.Apply({}, {"--wait"});
   const std::string job = R"({"name":"marker","tasks":1,"command":"run 1",)"
                           R"("need":{"millicores":1,"memory_mb":1}})";
-  const TimePoint changed = Clock::now();
-  const int marked = deployment.Apply({job}, {"--wait"});
+  const TimePoint changed_at = Clock::now();
+  const int marker_code = deployment.Apply({job}, {"--wait"});
   std::printf(
       "%6d  change in force everywhere in %.2f s (exit %d/%d, first "
       "wait %.2f s)\n",
-      agents, std::chrono::duration<double>(Clock::now() - changed).count(),
-      code, marked, std::chrono::duration<double>(changed - begun).count());
+      agents, std::chrono::duration<double>(Clock::now() - changed_at).count(),
+      code, marker_code,
+      std::chrono::duration<double>(changed_at - started_at).count());
 }
 
 auto CountState(Deployment& deployment, const std::string& state) -> int {
@@ -146,21 +150,21 @@
   const std::string job =
       R"({"name":"burst","tasks":)" + std::to_string(tasks) +
       R"(,"command":"run 20000","need":{"millicores":1000,"memory_mb":100}})";
-  const double appends = AppendsOf(deployment);
-  const TimePoint begun = Clock::now();
+  const double appends = CountAppends(deployment);
+  const TimePoint started_at = Clock::now();
   deployment.Apply({job});
   const bool all = WaitFor(
       [&deployment, tasks]() -> bool {
         return CountState(deployment, "running") >= tasks;
       },
-      kPatience);
+      kTestTimeout);
   const double seconds =
-      std::chrono::duration<double>(Clock::now() - begun).count();
+      std::chrono::duration<double>(Clock::now() - started_at).count();
   std::printf(
       "%6d  %d tasks running after %.2f s%s, %.0f starts/s, %.0f "
       "appends\n",
       agents, tasks, seconds, all ? "" : " (NOT ALL)", tasks / seconds,
-      AppendsOf(deployment) - appends);
+      CountAppends(deployment) - appends);
 }
 
 auto MeasureSize(int agents, bool workers) -> std::optional<Rates> {
@@ -173,21 +177,21 @@
     std::printf("%6d  the deployment did not start\n", agents);
     return std::nullopt;
   }
-  const double appends = AppendsOf(deployment);
-  Watch agent(&deployment, "agent", agents);
-  Watch entry(&deployment, "entry", 2);
+  const double appends = CountAppends(deployment);
+  UsageSampler agent(&deployment, "agent", agents);
+  UsageSampler entry(&deployment, "entry", 2);
   std::this_thread::sleep_for(kIdleTime);
   const Rates rates = agent.Finish();
   Print(agents, "agent, idle", rates);
   Print(agents, "entry, idle", entry.Finish());
   std::printf("%6d  %.1f appends/s\n", agents,
-              (AppendsOf(deployment) - appends) /
+              (CountAppends(deployment) - appends) /
                   static_cast<double>(kIdleTime.count()));
   MeasureConfig(deployment, agents);
   if (workers) {
     MeasureStarts(deployment, agents);
-    Watch busy(&deployment, "agent", agents);
-    Watch owner(&deployment, "entry", 2);
+    UsageSampler busy(&deployment, "agent", agents);
+    UsageSampler owner(&deployment, "entry", 2);
     constexpr std::chrono::seconds kBusyTime{5};
     std::this_thread::sleep_for(kBusyTime);
     Print(agents, "agent, 4 tasks", busy.Finish());
@@ -197,13 +201,13 @@
 }
 
 auto RunBench() -> int {
-  const auto few = MeasureSize(11, true);
-  const auto some = MeasureSize(50, true);
-  const auto many = MeasureSize(100, false);
-  if (!few || !some || !many) {
+  const auto small = MeasureSize(11, true);
+  const auto medium = MeasureSize(50, true);
+  const auto large = MeasureSize(100, false);
+  if (!small || !medium || !large) {
     return 1;
   }
-  const double growth = many->bytes_per_s / few->bytes_per_s;
+  const double growth = large->bytes_per_s / small->bytes_per_s;
   std::printf(
       "bytes of an idle agent, 100 to 11 agents: ratio %.2f, bound "
       "%.2f\n",
--- a/Tests/Benchmarks/Process/bench_request_overhead.cc
+++ b/Tests/Benchmarks/Process/bench_request_overhead.cc
@@ -1,6 +1,7 @@
-// What entry and agent add to a request, on real processes: the same request
-// is sent straight to the endpoint stand-in and through an entry, in turns, so
-// that both see the same machine. Bounds are on ratios of one run.
+// Measures the overhead that entry and agent add to a request, with real
+// processes. The same request is sent alternately to the endpoint stand-in
+// directly and through an entry, so that both are measured under the same load
+// of the machine. The bounds apply to ratios within one run.
 
 #include <algorithm>
 #include <cstdio>
@@ -15,9 +16,10 @@
 constexpr int kSamples = 4000;
 constexpr int kCallers = 16;
 constexpr std::chrono::seconds kThroughputTime{3};
-// Service time of the request, near a quick query of the partners.
+// The service time of 5 ms is close to that of a fast query of the partners.
 constexpr char kPath[] = "/coupon?ms=5";
-// With a service time of 5 ms the way through both processes may add this.
+// Bounds on the ratio of the latency through an entry to the direct latency,
+// for a service time of 5 ms.
 constexpr double kMedianBound = 1.5;
 constexpr double kTailBound = 3.0;
 
@@ -27,11 +29,12 @@
     -> bool {
   HttpClientRequest request;
   request.url = url;
-  request.timeout = kPatience;
-  const TimePoint begun = Clock::now();
+  request.timeout = kTestTimeout;
+  const TimePoint started_at = Clock::now();
   const bool complete = http.Call(request).complete;
   samples.push_back(
-      std::chrono::duration<double, std::milli>(Clock::now() - begun).count());
+      std::chrono::duration<double, std::milli>(Clock::now() - started_at)
+          .count());
   return complete;
 }
 
@@ -42,8 +45,8 @@
 }
 
 auto Compare(Deployment& deployment) -> bool {
-  HttpClient straight;
-  HttpClient through;
+  HttpClient direct_client;
+  HttpClient entry_client;
   const std::string direct_url = deployment.Url("endpoint-0") + kPath;
   const std::string entry_url =
       deployment.Url("entry-0") + "/call/rufisque/results" + kPath;
@@ -54,8 +57,8 @@
       direct.clear();
       entry.clear();
     }
-    if (!TimeOne(straight, direct_url, direct) ||
-        !TimeOne(through, entry_url, entry)) {
+    if (!TimeOne(direct_client, direct_url, direct) ||
+        !TimeOne(entry_client, entry_url, entry)) {
       std::printf("request %d was not answered\n", i);
       return false;
     }
@@ -74,7 +77,8 @@
   return within;
 }
 
-// Requests a second through one entry, with endpoints that answer at once.
+// Measures requests per second through one entry with endpoints that answer
+// immediately.
 auto MeasureThroughput(Deployment& deployment) -> void {
   std::atomic<int> answered = 0;
   std::vector<std::thread> callers;
--- a/Tests/Process/bad_input_test.cc
+++ b/Tests/Process/bad_input_test.cc
@@ -12,7 +12,8 @@
 namespace rhubarbhaven::test {
 namespace {
 
-// Sends raw bytes to a loopback port and gives what comes back, in short.
+// Sends raw bytes to a loopback port. Returns what one read receives within 2
+// s, at most 4096 bytes.
 auto SendRaw(int port, const std::string& bytes) -> std::string {
   const int socket_fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in address{};
@@ -66,7 +67,7 @@
 class BadHttp : public BadInput,
                 public testing::WithParamInterface<BadRequest> {};
 
-TEST_P(BadHttp, IsRefusedWithItsReasonAndCounted) {
+TEST_P(BadHttp, IsRejectedWithItsReasonAndCounted) {
   const BadRequest& bad = GetParam();
   const std::string counter =
       "rhubarbhaven_refused_total{reason=\"" + bad.reason + "\"}";
@@ -157,8 +158,9 @@
   EXPECT_TRUE(StillServes());
 }
 
-// Symptom: an entry crashes or grows. Sequence: seeded garbage, cut messages
-// and a wrong version on the link port. Cause: decoding without a check.
+// Guards against an entry that crashes or whose memory use grows because it
+// decodes messages without checks: the link port receives seeded random bytes
+// and a message with a wrong version.
 TEST_F(BadInput, GarbageOnTheLinkPort) {
   zmq::context_t context;
   zmq::socket_t socket(context, zmq::socket_type::dealer);
@@ -185,7 +187,7 @@
   };
   EXPECT_TRUE(WaitFor(
       [&dropped]() -> bool { return dropped("message_wrong_version") >= 1; },
-      kPatience));
+      kTestTimeout));
   EXPECT_GE(dropped("message_malformed"), 1);
   SendRaw(deployment_->Port("link-0"), "GET / HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(StillServes());
--- a/Tests/Process/configuration_test.cc
+++ b/Tests/Process/configuration_test.cc
@@ -10,7 +10,7 @@
 constexpr char kSmallJob[] = R"({"name":"small","tasks":1,"command":"run 100",)"
                              R"("need":{"millicores":100,"memory_mb":10}})";
 
-// Lowest configuration that any entry or agent says to have in force.
+// Lowest configuration version that any entry or agent reports as applied.
 auto LowestApplied(Deployment& deployment) -> uint64_t {
   uint64_t lowest = UINT64_MAX;
   for (int i = 0; i < deployment.options().entries; ++i) {
@@ -23,8 +23,9 @@
   return lowest;
 }
 
-// Symptom: an operator cannot tell when a change is in force. Sequence: apply
-// with --wait. Cause: a change that is accepted but not yet everywhere.
+// Guards against `apply --wait` returning when a change is accepted but not yet
+// applied by every process, so that an operator cannot tell when it is in
+// force.
 TEST(Configuration, InForceEverywhereWithinFiveSeconds) {
   Deployment deployment({.workers = false});
   ASSERT_TRUE(deployment.StartAll());
@@ -33,9 +34,9 @@
   EXPECT_GT(LowestApplied(deployment), before);
 }
 
-// Symptom: a version goes down. Sequence: every daemon is killed and started
-// while the log is down or has dropped old records. Cause: a process that
-// starts with an older state than it had.
+// Guards against a configuration version that decreases because a process
+// starts with an older state than it had: daemons are killed and restarted
+// after the log has expired old records, and while the log is down.
 TEST(Configuration, NeverRevertsThroughRestartsAndExpiry) {
   DeploymentOptions options;
   options.workers = false;
@@ -68,7 +69,7 @@
   EXPECT_EQ(
       deployment.Client({"show", "--partner=rufisque", "--json"}, &output), 0);
   EXPECT_TRUE(absl::StrContains(output, "100")) << output;
-  // In an outage, from its peer.
+  // While the log is down, the entry obtains the configuration from its peer.
   deployment.process("log").Kill();
   deployment.process("entry-0").Kill();
   deployment.Start("entry-0");
@@ -76,12 +77,12 @@
       [&deployment, before]() -> bool {
         return deployment.Status(0).config_applied() >= before;
       },
-      kPatience));
+      kTestTimeout));
 }
 
-// Symptom: a refused change and an unreachable platform look the same.
-// Sequence: apply with the log down. Cause: one error for all.
-TEST(Configuration, OutageIsToldApartFromRefusal) {
+// Guards against one exit code for both a rejected change and an unreachable
+// log.
+TEST(Configuration, OutageIsDistinguishedFromRejection) {
   Deployment deployment({.workers = false});
   ASSERT_TRUE(deployment.StartAll());
   EXPECT_EQ(deployment.Apply({R"({"name":"bad","tasks":0})"}), 2);
--- a/Tests/Process/once_test.cc
+++ b/Tests/Process/once_test.cc
@@ -16,9 +16,9 @@
   return HeaderOf(answer.http, "rhubarbhaven-verdict");
 }
 
-// Symptom: a member is billed twice. Sequence: the caller repeats its request
-// through another entry while the first is in progress, and after it is done.
-// Cause: entries that do not know of each other's runs.
+// Guards against a request that runs twice, such as a double charge, because
+// entries have no record of each other's runs: the caller repeats its request
+// through another entry while the first is in progress and after it is done.
 TEST(Once, RepeatedThroughAnotherEntry) {
   Deployment deployment({.workers = false});
   ASSERT_TRUE(deployment.StartAll());
@@ -32,25 +32,25 @@
   EXPECT_EQ(VerdictOf(first), "answered");
   EXPECT_EQ(during.http.body(), first.http.body());
   EXPECT_EQ(after.http.body(), first.http.body());
-  EXPECT_EQ(deployment.RunsOf("bill-1"), 1);
+  EXPECT_EQ(deployment.CountRuns("bill-1"), 1);
 }
 
-// Symptom: it runs again after a restart. Sequence: the request runs, then
-// every agent, or every entry, is killed and started anew; the caller repeats.
-// Cause: a memory of runs that dies with a process.
+// Guards against a request that runs again because the record of its run is
+// lost with a process: the request runs, every agent and entry is killed and
+// restarted, and the caller repeats the request.
 TEST(Once, RepeatedAfterEveryProcessRestarted) {
   Deployment deployment({.workers = false});
   ASSERT_TRUE(deployment.StartAll());
   const auto first = deployment.Post(0, kPath, "bill-2");
   ASSERT_EQ(VerdictOf(first), "answered");
-  // The outcome reaches the log in the background; the entry that saw the
-  // answer dies only once it is there.
+  // The outcome is written to the log asynchronously; the entry that received
+  // the answer must not be killed before the outcome is stored.
   ASSERT_TRUE(WaitFor(
       [&deployment, &first]() -> bool {
         return deployment.Post(1, kPath, "bill-2").http.body() ==
                first.http.body();
       },
-      kPatience));
+      kTestTimeout));
   for (const char* name :
        {"agent-0", "agent-1", "agent-2", "entry-0", "entry-1"}) {
     deployment.process(name).Kill();
@@ -63,14 +63,14 @@
         again = deployment.Post(0, kPath, "bill-2");
         return VerdictOf(again) == "answered";
       },
-      kPatience));
+      kTestTimeout));
   EXPECT_EQ(again.http.body(), first.http.body());
-  EXPECT_EQ(deployment.RunsOf("bill-2"), 1);
+  EXPECT_EQ(deployment.CountRuns("bill-2"), 1);
 }
 
-// Symptom: it runs a second time elsewhere. Sequence: the agent that runs it
-// is killed in the middle; the caller repeats through both entries. Cause: a
-// lost answer taken for "not run".
+// Guards against a request that runs a second time on another agent because a
+// lost answer is treated as "not run": the agents are killed during the run,
+// and the caller repeats the request through the other entry.
 TEST(Once, AgentKilledDuringTheRun) {
   Deployment deployment({.workers = false});
   ASSERT_TRUE(deployment.StartAll());
@@ -80,8 +80,8 @@
         deployment.Post(0, "/call/rufisque/results/rating?ms=1500", "bill-3");
   });
   ASSERT_TRUE(WaitFor(
-      [&deployment]() -> bool { return deployment.RunsOf("bill-3") == 1; },
-      kPatience));
+      [&deployment]() -> bool { return deployment.CountRuns("bill-3") == 1; },
+      kTestTimeout));
   for (const char* name : {"agent-0", "agent-1", "agent-2"}) {
     deployment.process(name).Kill();
     deployment.Start(name);
@@ -90,12 +90,13 @@
   EXPECT_EQ(VerdictOf(first), "may_have_run");
   ASSERT_TRUE(deployment.WaitReady(1, 3));
   EXPECT_EQ(VerdictOf(deployment.Post(1, kSlowPath, "bill-3")), "may_have_run");
-  EXPECT_EQ(deployment.RunsOf("bill-3"), 1);
+  EXPECT_EQ(deployment.CountRuns("bill-3"), 1);
 }
 
-// Symptom: a request may run twice after the log forgot it, or is held back.
-// Sequence: the log is down. Cause: running without the record.
-TEST(Once, RefusedAtOnceWhileTheLogIsDown) {
+// Guards against an idempotent request that runs without a stored record, and
+// so may run twice, or that is delayed instead of rejected, while the log is
+// down.
+TEST(Once, RejectedAtOnceWhileTheLogIsDown) {
   Deployment deployment({.workers = false});
   ASSERT_TRUE(deployment.StartAll());
   ASSERT_EQ(VerdictOf(deployment.Post(0, kPath, "bill-4")), "answered");
@@ -107,15 +108,15 @@
         return HeaderOf(refused.http, "rhubarbhaven-reason") ==
                "log_unavailable";
       },
-      kPatience));
+      kTestTimeout));
   EXPECT_EQ(VerdictOf(refused), "not_run");
   EXPECT_NE(HeaderOf(refused.http, "retry-after"), "");
-  EXPECT_EQ(deployment.RunsOf("bill-5"), 0);
+  EXPECT_EQ(deployment.CountRuns("bill-5"), 0);
 }
 
-// Symptom: it runs twice, or the caller is told "not run" after it ran.
-// Sequence: the log's answers to appends are lost. Cause: an append sent again
-// under another number.
+// Guards against a request that runs twice, or is reported as "not run" after
+// it ran, because an append is sent again under another sequence number: the
+// log's answers to appends are lost.
 TEST(Once, AppendAnswersLost) {
   Deployment deployment({.workers = false});
   ASSERT_TRUE(deployment.StartAll());
@@ -123,7 +124,7 @@
   for (int i = 0; i < 4; ++i) {
     const std::string key = absl::StrCat("lost-", i);
     const auto answer = deployment.Post(i % 2, kPath, key);
-    const int runs = deployment.RunsOf(key);
+    const int runs = deployment.CountRuns(key);
     EXPECT_LE(runs, 1);
     if (VerdictOf(answer) == "answered") {
       EXPECT_EQ(runs, 1);
--- a/Tests/Process/planned_stop_test.cc
+++ b/Tests/Process/planned_stop_test.cc
@@ -9,8 +9,8 @@
 namespace rhubarbhaven::test {
 namespace {
 
-// Callers that ask both entries for as long as they live, as a balancer would:
-// an entry whose health check fails is left out.
+// Threads that send requests to both entries until they are stopped. Like a
+// load balancer, they skip an entry whose health check fails.
 class Callers {
  public:
   explicit Callers(Deployment* deployment) : deployment_(deployment) {
@@ -59,22 +59,22 @@
 
 class PlannedStop : public testing::TestWithParam<std::string> {};
 
-// Symptom: a request is cut off, lost or refused when a process is stopped as
-// planned. Sequence: SIGTERM under load. Cause: a process that ends, or stops
-// answering, before what it took on is finished.
+// Guards against requests that are cut off, lost or rejected during a planned
+// stop (SIGTERM under load) because a process exits, or stops answering, before
+// it has finished the requests that it has accepted.
 TEST_P(PlannedStop, CutsOffNothing) {
   Deployment deployment({.workers = false});
   ASSERT_TRUE(deployment.StartAll());
   Callers callers(&deployment);
   ASSERT_TRUE(WaitFor([&callers]() -> bool { return callers.answered() > 50; },
-                      kPatience));
+                      kTestTimeout));
   deployment.process(GetParam()).Signal(SIGTERM);
-  EXPECT_EQ(deployment.process(GetParam()).WaitExit(kPatience), 0);
+  EXPECT_EQ(deployment.process(GetParam()).WaitExit(kTestTimeout), 0);
   const int at_stop = callers.answered();
   ASSERT_TRUE(
       WaitFor([&callers,
                at_stop]() -> bool { return callers.answered() > at_stop + 50; },
-              kPatience));
+              kTestTimeout));
   callers.Stop();
   EXPECT_EQ(callers.failed(), 0);
 }
@@ -86,9 +86,9 @@
                            return info.param == "entry-0" ? "Entry" : "Agent";
                          });
 
-// Symptom: a leaving endpoint still gets work. Sequence: its agent is told to
-// stop while a long request runs, with the log down. Cause: entries that learn
-// of it late, or through the log.
+// Guards against an endpoint that still receives requests after its agent was
+// asked to stop, because entries are notified late or only through the log: the
+// agent receives SIGTERM while a long request runs and the log is down.
 TEST(PlannedStopOfAgent, GetsNoNewWork) {
   Deployment deployment({.workers = false});
   ASSERT_TRUE(deployment.StartAll());
--- a/Tests/Process/platform_test.cc
+++ b/Tests/Process/platform_test.cc
@@ -1,5 +1,5 @@
-// The whole path on the partners' platform, with real processes: jobs handed
-// in over HTTP, stored in the log, placed, run by workers, and asked for.
+// End-to-end tests on the partners' platform with real processes: jobs are
+// submitted over HTTP, stored in the log, placed, run by workers and queried.
 
 #include <gtest/gtest.h>
 
@@ -20,8 +20,8 @@
 #include "Tests/StandIns/Platform/platform_stand_in.h"
 #include "Tests/Support/child_process.h"
 #include "Tests/Support/deployment.h"
+#include "Tests/Support/fault_proxy.h"
 #include "Tests/Support/platform_settings.h"
-#include "Tests/Support/silent_relay.h"
 
 namespace rhubarbhaven::test {
 namespace {
@@ -31,12 +31,12 @@
 
 constexpr int kEntries = 2;
 constexpr int kAgents = 2;
-// Several polls, reads and listings long.
-constexpr milliseconds kGarbageFor{2500};
-// Until the read under way hangs, too.
-constexpr milliseconds kReadHangs{1500};
-// A takeover, the job's work, and as much again for a busy machine.
-constexpr seconds kRunsWithin{15};
+// Spans several polls, log reads and worker listings.
+constexpr milliseconds kGarbageDuration{2500};
+// Long enough that the read in progress hangs, too.
+constexpr milliseconds kReadHangDelay{1500};
+// Covers a takeover and the job's run, doubled for a busy machine.
+constexpr seconds kTakeoverTimeout{15};
 constexpr char kBody[] =
     R"({"Spec":"text","Steps":[{"Count":3,"Cpu":500,"EstimatedMs":200},)"
     R"({"Count":2,"Cpu":500,"After":[0],"EstimatedMs":200}]})";
@@ -83,15 +83,15 @@
 
   auto StartEntry(int i) -> void {
     const std::string id = absl::StrCat("entry-", i);
-    Start(id, SettingsOf(EntryPlace{id, LoopbackAddress(callers_ports_.at(i)),
-                                    LoopbackAddress(ready_ports_.at(i)),
-                                    LogAddressOf(i)}));
+    Start(id, RenderSettings(EntryAddresses{
+                  id, LoopbackAddress(callers_ports_.at(i)),
+                  LoopbackAddress(ready_ports_.at(i)), LogAddressOf(i)}));
   }
 
-  // An entry may reach the log over a relay.
+  // An entry may reach the log through a proxy.
   auto LogAddressOf(int entry) -> std::string {
-    const auto found = relayed_log_.find(entry);
-    return found == relayed_log_.end() ? platform_->log_address()
+    const auto found = proxied_log_.find(entry);
+    return found == proxied_log_.end() ? platform_->log_address()
                                        : found->second;
   }
 
@@ -100,10 +100,11 @@
       link_ports_.push_back(FreePort());
     }
     const std::string id = absl::StrCat("agent-", i);
-    Start(id, SettingsOf(AgentPlace{id, LoopbackAddress(heartbeat_ports_.at(i)),
-                                    platform_->worker_address(i),
-                                    LoopbackAddress(link_ports_.at(i)),
-                                    platform_->log_address()}));
+    Start(id,
+          RenderSettings(AgentAddresses{
+              id, LoopbackAddress(heartbeat_ports_.at(i)),
+              platform_->worker_address(i), LoopbackAddress(link_ports_.at(i)),
+              platform_->log_address()}));
   }
 
   auto Call(int entry,
@@ -130,8 +131,8 @@
     return request;
   }
 
-  // Hands the job in at one entry until it accepts it.
-  auto Accepts(int entry, const std::string& id) -> bool {
+  // Submits the job to one entry, repeatedly until it is accepted.
+  auto SubmitTo(int entry, const std::string& id) -> bool {
     return WaitFor(
         [this, entry, &id]() -> bool {
           return Call(entry, "POST", "/jobs/" + id, kBody).http.status() == 200;
@@ -139,7 +140,7 @@
         seconds(60));
   }
 
-  // Hands the job in at either entry until one accepts it.
+  // Submits the job to both entries in turn until one accepts it.
   auto Submit(const std::string& id) -> bool {
     return WaitFor(
         [this, &id]() -> bool {
@@ -154,8 +155,8 @@
         seconds(60));
   }
 
-  // Whether the balancer would send callers to the entry.
-  auto BecomesReady(int entry) -> bool {
+  // Waits until a load balancer would send callers to the entry.
+  auto WaitReady(int entry) -> bool {
     return WaitFor(
         [this, entry]() -> bool {
           HttpClientRequest request;
@@ -171,7 +172,7 @@
     return Call(entry, "GET", "/jobs/" + id).http.body();
   }
 
-  auto Completes(int entry, const std::string& id) -> bool {
+  auto WaitCompleted(int entry, const std::string& id) -> bool {
     return WaitFor(
         [this, entry, &id]() -> bool {
           return State(entry, id) == R"({"State":"completed"})";
@@ -190,26 +191,26 @@
   std::vector<int> link_ports_;
   std::vector<int> callers_ports_;
   std::vector<int> ready_ports_;
-  std::map<int, std::string> relayed_log_;
+  std::map<int, std::string> proxied_log_;
   std::unique_ptr<PlatformStandIn> platform_;
   std::map<std::string, std::unique_ptr<ChildProcess>> processes_;
   HttpClient client_;
 };
 
-TEST_F(PlatformTest, JobRunsFromHandInToItsLastTask) {
+TEST_F(PlatformTest, JobRunsFromSubmissionToItsLastTask) {
   ASSERT_TRUE(Submit("00000000000000a1"));
-  EXPECT_TRUE(Completes(0, "00000000000000a1"));
-  EXPECT_TRUE(Completes(1, "00000000000000a1"));
+  EXPECT_TRUE(WaitCompleted(0, "00000000000000a1"));
+  EXPECT_TRUE(WaitCompleted(1, "00000000000000a1"));
   EXPECT_EQ(platform_->starts(), 5);
   EXPECT_EQ(Call(0, "GET", "/jobs/").http.body(), R"({"Pending":0})");
-  // Handed in once more, it remains one job.
+  // Submitting the job again does not create a second one.
   EXPECT_EQ(Call(1, "POST", "/jobs/00000000000000a1", kBody).http.status(),
             200U);
   EXPECT_EQ(platform_->starts(), 5);
   ExpectNoProblems();
 }
 
-struct RefusalCase {
+struct RejectionCase {
   std::string name;
   std::string method;
   std::string path;
@@ -217,7 +218,7 @@
   uint32_t status = 0;
 };
 
-const std::vector<RefusalCase> kRefusals = {
+const std::vector<RejectionCase> kRejections = {
     {"unknown queue", "POST", "/other/00000000000000a1", kBody, 404},
     {"unknown job", "GET", "/jobs/00000000000000ff", "", 410},
     {"cancel of an unknown job", "DELETE", "/jobs/00000000000000ff", "", 410},
@@ -230,21 +231,22 @@
     {"other method", "PUT", "/jobs/00000000000000a2", kBody, 405},
 };
 
-TEST_F(PlatformTest, BadCallsAreRefusedClearly) {
-  ASSERT_TRUE(BecomesReady(0));
+TEST_F(PlatformTest, BadCallsAreRejectedWithAnError) {
+  ASSERT_TRUE(WaitReady(0));
   ASSERT_TRUE(Submit("00000000000000a1"));
-  for (const auto& refusal : kRefusals) {
-    const auto answer = Call(0, refusal.method, refusal.path, refusal.body);
-    EXPECT_EQ(answer.http.status(), refusal.status) << refusal.name;
+  for (const auto& rejection : kRejections) {
+    const auto answer =
+        Call(0, rejection.method, rejection.path, rejection.body);
+    EXPECT_EQ(answer.http.status(), rejection.status) << rejection.name;
     EXPECT_NE(answer.http.body().find("Error"), std::string::npos)
-        << refusal.name << ": " << answer.http.body();
+        << rejection.name << ": " << answer.http.body();
   }
-  EXPECT_TRUE(Completes(0, "00000000000000a1"));
+  EXPECT_TRUE(WaitCompleted(0, "00000000000000a1"));
 }
 
-// Symptom watched for: accepted jobs are lost, or their tasks run twice.
-// Sequence: every process is killed right after a job was accepted; history of
-// the log is dropped before they are back.
+// Guards against accepted jobs that are lost or whose tasks run twice: every
+// process is killed right after a job is accepted, and the log discards its
+// history before they are restarted.
 TEST_F(PlatformTest, AcceptedJobSurvivesTheLossOfEveryProcess) {
   ASSERT_TRUE(Submit("00000000000000a1"));
   for (auto& [name, process] : processes_) {
@@ -265,26 +267,27 @@
   ExpectNoProblems();
 }
 
-TEST_F(PlatformTest, LogAwayIsSaidAtOnceAndAcceptedWorkGoesOn) {
+TEST_F(PlatformTest, LogOutageIsReportedAtOnceAndAcceptedJobsContinue) {
   ASSERT_TRUE(Submit("00000000000000a1"));
   ASSERT_TRUE(WaitFor([this]() -> bool { return platform_->starts() > 0; },
                       seconds(60)));
   platform_->SetLogMode(jobs::VirtualLog::Mode::kRejects);
-  // The first one may find out; then callers are told at once.
+  // The first request may be the one that detects the outage; later ones are
+  // rejected at once.
   Call(0, "POST", "/jobs/00000000000000a2", kBody);
   const auto answer = Call(0, "POST", "/jobs/00000000000000a3", kBody);
   EXPECT_EQ(answer.http.status(), 503U);
-  bool told = false;
+  bool has_retry_after = false;
   for (const auto& header : answer.http.headers()) {
-    told = told || header.name() == "retry-after";
+    has_retry_after = has_retry_after || header.name() == "retry-after";
   }
-  EXPECT_TRUE(told);
+  EXPECT_TRUE(has_retry_after);
   EXPECT_TRUE(WaitFor([this]() -> bool { return platform_->ends() >= 5; },
                       seconds(60)));
   platform_->SetLogMode(jobs::VirtualLog::Mode::kServes);
-  EXPECT_TRUE(Completes(0, "00000000000000a1"));
+  EXPECT_TRUE(WaitCompleted(0, "00000000000000a1"));
   EXPECT_TRUE(Submit("00000000000000a3"));
-  EXPECT_TRUE(Completes(1, "00000000000000a3"));
+  EXPECT_TRUE(WaitCompleted(1, "00000000000000a3"));
   ExpectNoProblems();
 }
 
@@ -293,105 +296,104 @@
   for (auto& [name, process] : processes_) {
     process->Signal(SIGHUP);
   }
-  ASSERT_TRUE(Completes(0, "00000000000000a1"));
+  ASSERT_TRUE(WaitCompleted(0, "00000000000000a1"));
   processes_["entry-0"]->Signal(SIGTERM);
   EXPECT_EQ(processes_["entry-0"]->WaitExit(seconds(20)), 0);
   EXPECT_EQ(Call(1, "POST", "/jobs/00000000000000a2", kBody).http.status(),
             200U);
-  EXPECT_TRUE(Completes(1, "00000000000000a2"));
+  EXPECT_TRUE(WaitCompleted(1, "00000000000000a2"));
   EXPECT_NE(processes_["entry-1"]->Output().find("\"event\":\"reload\""),
             std::string::npos);
   ExpectNoProblems();
 }
 
-// Symptom: a job that was acknowledged is unknown and never runs; another one,
-// whose caller was told that it was not accepted, runs. Sequence: the log
-// carries out an append, and the connection is reset before the answer; new
-// connections are refused for a while. Then the log can be reached again and
-// the next job is handed in. Cause: the client library had sent the append
-// again by itself, and only its failure to connect was seen. So the append was
-// taken for refused and its sequence number for unused; the next append went
-// out under the same number, and the log took it for the repeat of the first.
-TEST_F(PlatformTest, AppendWhoseAnswerWasResetIsNotTakenForRefused) {
-  const int relay_port = FreePort();
-  SilentRelay relay(relay_port, platform_->log_port());
-  relayed_log_[0] = LoopbackAddress(relay_port);
+// Guards against an acknowledged job that is lost while a job reported as
+// rejected runs. The log executes an append, the connection is reset before the
+// answer, and new connections are refused for a while. If the HTTP client
+// library retries the append by itself, only the retry's failure to connect is
+// visible: the append is treated as rejected and its sequence number as unused.
+// The append of the next job then has the same number, and the log discards it
+// as a repeat of the first.
+TEST_F(PlatformTest, AppendWhoseAnswerWasResetIsNotTreatedAsRejected) {
+  const int proxy_port = FreePort();
+  FaultProxy proxy(proxy_port, platform_->log_port());
+  proxied_log_[0] = LoopbackAddress(proxy_port);
   processes_["entry-0"]->Kill();
   StartEntry(0);
-  ASSERT_TRUE(BecomesReady(0));
-  ASSERT_TRUE(Accepts(0, "00000000000000a1"));
-  relay.ResetOnAnswerTo(
+  ASSERT_TRUE(WaitReady(0));
+  ASSERT_TRUE(SubmitTo(0, "00000000000000a1"));
+  proxy.ResetOnAnswerTo(
       "POST /rhubarbhaven/log-append?Topic=keyed.jobs&part=0&Producer=entry-");
-  auto told = std::async(std::launch::async,
-                         [call = MakeCall(0, "POST", "/jobs/00000000000000a2",
-                                          kBody)]() -> uint32_t {
-                           return HttpClient().Call(call).http.status();
-                         });
+  auto submit_status = std::async(
+      std::launch::async,
+      [call = MakeCall(0, "POST", "/jobs/00000000000000a2", kBody)]()
+          -> uint32_t { return HttpClient().Call(call).http.status(); });
   ASSERT_TRUE(WaitFor(
       [this]() -> bool {
         return Call(1, "GET", "/jobs/00000000000000a2").http.status() == 200;
       },
       seconds(60)));
-  relay.ListenAgain();
-  EXPECT_NE(told.get(), 503U);
-  ASSERT_TRUE(Accepts(0, "00000000000000a3"));
-  EXPECT_TRUE(Completes(1, "00000000000000a2"));
-  EXPECT_TRUE(Completes(1, "00000000000000a3"));
+  proxy.ResumeListening();
+  EXPECT_NE(submit_status.get(), 503U);
+  ASSERT_TRUE(SubmitTo(0, "00000000000000a3"));
+  EXPECT_TRUE(WaitCompleted(1, "00000000000000a2"));
+  EXPECT_TRUE(WaitCompleted(1, "00000000000000a3"));
   ExpectNoProblems();
 }
 
-// Symptom watched for: a job is acknowledged and nowhere, records of the log
-// are passed over, or a process ends. Sequence: log and workers answer with
-// success and bytes without meaning while jobs are handed in and run. Cause
-// watched for: an answer is taken by its status alone.
-TEST_F(PlatformTest, AnswersWithoutMeaningLoseNothing) {
+// Guards against an acknowledged job that is lost, log records that are skipped
+// or a process that exits because an answer is accepted by its status alone:
+// the log and the workers answer with success and meaningless bytes while jobs
+// are submitted and run.
+TEST_F(PlatformTest, MeaninglessAnswersLoseNothing) {
   ASSERT_TRUE(Submit("00000000000000a1"));
   platform_->SetGarbageAnswers(true);
   const auto answer = Call(0, "POST", "/jobs/00000000000000a2", kBody);
   EXPECT_NE(answer.http.status(), 200U);
-  std::this_thread::sleep_for(kGarbageFor);
+  std::this_thread::sleep_for(kGarbageDuration);
   platform_->SetGarbageAnswers(false);
-  EXPECT_TRUE(Completes(0, "00000000000000a1"));
+  EXPECT_TRUE(WaitCompleted(0, "00000000000000a1"));
   ASSERT_TRUE(Submit("00000000000000a2"));
-  EXPECT_TRUE(Completes(0, "00000000000000a2"));
-  EXPECT_TRUE(Completes(1, "00000000000000a2"));
+  EXPECT_TRUE(WaitCompleted(0, "00000000000000a2"));
+  EXPECT_TRUE(WaitCompleted(1, "00000000000000a2"));
   for (const auto& [name, process] : processes_) {
     EXPECT_EQ(process->WaitExit(milliseconds(0)), std::nullopt) << name;
   }
   ExpectNoProblems();
 }
 
-// Guards against an owner whose reads of the log hang while its appends pass:
-// it starts no job that another entry accepts, and stays the owner.
+// Guards against an owner whose reads of the log hang while its appends
+// succeed: it would remain the owner without starting jobs that another entry
+// accepts.
 TEST_F(PlatformTest, OwnerWhoseReadsHangIsReplaced) {
-  const int relay_port = FreePort();
-  SilentRelay relay(relay_port, platform_->log_port());
-  relayed_log_[0] = LoopbackAddress(relay_port);
+  const int proxy_port = FreePort();
+  FaultProxy proxy(proxy_port, platform_->log_port());
+  proxied_log_[0] = LoopbackAddress(proxy_port);
   processes_["entry-0"]->Kill();
   processes_["entry-1"]->Kill();
   StartEntry(0);
-  ASSERT_TRUE(Accepts(0, "00000000000000a1"));
-  ASSERT_TRUE(Completes(0, "00000000000000a1"));
+  ASSERT_TRUE(SubmitTo(0, "00000000000000a1"));
+  ASSERT_TRUE(WaitCompleted(0, "00000000000000a1"));
   StartEntry(1);
-  ASSERT_TRUE(BecomesReady(1));
-  RelayFault fault;
+  ASSERT_TRUE(WaitReady(1));
+  ProxyFault fault;
   fault.drops_answers = true;
-  fault.only = "GET /rhubarbhaven/log-read";
-  relay.SetFault(fault);
-  std::this_thread::sleep_for(kReadHangs);
-  ASSERT_TRUE(Accepts(1, "00000000000000a2"));
+  fault.request_prefix = "GET /rhubarbhaven/log-read";
+  proxy.SetFault(fault);
+  std::this_thread::sleep_for(kReadHangDelay);
+  ASSERT_TRUE(SubmitTo(1, "00000000000000a2"));
   EXPECT_TRUE(WaitFor(
       [this]() -> bool {
         return State(1, "00000000000000a2") == R"({"State":"completed"})";
       },
-      kRunsWithin));
+      kTakeoverTimeout));
   ExpectNoProblems();
 }
 
 TEST_F(PlatformTest, UnreadableConfigurationLeavesTheLastOneInForce) {
-  // An entry that starts later would find nothing else.
-  ASSERT_TRUE(BecomesReady(0));
-  ASSERT_TRUE(BecomesReady(1));
+  // An entry that starts later would find only the unreadable configuration.
+  ASSERT_TRUE(WaitReady(0));
+  ASSERT_TRUE(WaitReady(1));
   ASSERT_TRUE(Submit("00000000000000a1"));
   platform_->PublishInvalidConfiguration();
   EXPECT_TRUE(WaitFor(
@@ -402,12 +404,12 @@
       },
       seconds(60)));
   ASSERT_TRUE(Submit("00000000000000a2"));
-  EXPECT_TRUE(Completes(0, "00000000000000a2"));
+  EXPECT_TRUE(WaitCompleted(0, "00000000000000a2"));
   ExpectNoProblems();
 }
 
 TEST_F(PlatformTest, SettingsThatChangeWithoutASignalAreReloaded) {
-  ASSERT_TRUE(BecomesReady(0));
+  ASSERT_TRUE(WaitReady(0));
   const std::string path = absl::StrCat(folder_, "/entry-0.json");
   std::ifstream file(path);
   std::string settings((std::istreambuf_iterator<char>(file)),
--- a/Tests/Process/silent_connection_test.cc
+++ b/Tests/Process/silent_connection_test.cc
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "Tests/Support/deployment.h"
-#include "Tests/Support/silent_relay.h"
+#include "Tests/Support/fault_proxy.h"
 
 namespace rhubarbhaven::test {
 namespace {
@@ -11,9 +11,9 @@
 
 struct Hop {
   std::string name;
-  // Which process's settings lead through the relay, and how.
-  std::function<auto(schema::DaemonSettings&, int relay_port)->void> divert;
-  // The process behind the relay.
+  // Changes the settings of agent-0 so that this hop goes through the proxy.
+  std::function<auto(schema::DaemonSettings&, int proxy_port)->void> divert;
+  // The process behind the proxy.
   std::string target;
 };
 
@@ -23,28 +23,28 @@
 
 class SilentConnection : public testing::TestWithParam<Hop> {};
 
-// Symptom: requests hang or fail for minutes. Sequence: something between two
-// ends drops its state: bytes vanish both ways, no reset, new connections
-// work. Cause: waiting on a connection that will never say anything again.
-// Bound: served through the new connection within 5 s, and meanwhile by the
-// other endpoints; the endpoint itself stays in use.
+// Guards against requests that hang or fail for minutes because a process waits
+// on a connection that has been blackholed: a device on the path loses its
+// state, so that bytes are lost in both directions without a reset, while new
+// connections work. A new connection must be opened within 5 s, the other
+// endpoints must serve meanwhile, and the endpoint itself must remain in use.
 TEST_P(SilentConnection, IsReplacedAndTheEndpointKept) {
-  const int relay_port = FreePort();
+  const int proxy_port = FreePort();
   const Hop& hop = GetParam();
   DeploymentOptions options;
   options.workers = false;
   options.adjust = [&hop,
-                    relay_port](schema::DaemonSettings& settings) -> void {
+                    proxy_port](schema::DaemonSettings& settings) -> void {
     if (settings.id() == "agent-0") {
-      hop.divert(settings, relay_port);
+      hop.divert(settings, proxy_port);
     }
   };
   Deployment deployment(options);
-  SilentRelay relay(relay_port, deployment.Port(hop.target));
+  FaultProxy proxy(proxy_port, deployment.Port(hop.target));
   ASSERT_TRUE(deployment.StartAll());
-  const int before = relay.accepted();
+  const int before = proxy.accepted();
   ASSERT_GE(before, 1);
-  relay.SilenceOpenConnections();
+  proxy.BlackholeOpenConnections();
   int answered = 0;
   constexpr int kRequests = 50;
   for (int i = 0; i < kRequests; ++i) {
@@ -54,15 +54,16 @@
   }
   EXPECT_EQ(answered, kRequests);
   EXPECT_TRUE(
-      WaitFor([&relay, before]() -> bool { return relay.accepted() > before; },
+      WaitFor([&proxy, before]() -> bool { return proxy.accepted() > before; },
               std::chrono::seconds(5)));
-  // A path that lost messages comes back by requests that serve as probes.
+  // A path that has lost messages is reinstated by requests that serve as
+  // probes.
   EXPECT_TRUE(WaitFor(
       [&deployment]() -> bool {
         deployment.Get(0, "/call/rufisque/results/probe?ms=2");
         return deployment.EndpointsInState(0, "ready") == 3;
       },
-      kPatience));
+      kTestTimeout));
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -84,23 +85,23 @@
       return info.param.name;
     });
 
-// Symptom: an entry never learns of changes again. Sequence: its connection to
-// the platform's log goes silent. Cause: a read without a limit of its own.
-// Bound: 10 s.
+// Guards against an entry that receives no further changes after its connection
+// to the platform's log was blackholed, because its reads have no time-out. The
+// entry must apply a change within 10 s.
 TEST(SilentConnectionToLog, IsReplaced) {
-  const int relay_port = FreePort();
+  const int proxy_port = FreePort();
   DeploymentOptions options;
   options.workers = false;
-  options.adjust = [relay_port](schema::DaemonSettings& settings) -> void {
+  options.adjust = [proxy_port](schema::DaemonSettings& settings) -> void {
     if (settings.id() == "entry-0") {
-      settings.set_log_url(absl::StrCat("http://127.0.0.1:", relay_port));
+      settings.set_log_url(absl::StrCat("http://127.0.0.1:", proxy_port));
     }
   };
   Deployment deployment(options);
-  SilentRelay relay(relay_port, deployment.Port("log"));
+  FaultProxy proxy(proxy_port, deployment.Port("log"));
   ASSERT_TRUE(deployment.StartAll());
   const uint64_t before = deployment.Status(0).config_applied();
-  relay.SilenceOpenConnections();
+  proxy.BlackholeOpenConnections();
   ASSERT_EQ(deployment.Apply({R"({"name":"small","tasks":1,"command":"run 1",)"
                               R"("need":{"millicores":100,"memory_mb":10}})"}),
             0);
--- a/Tests/Process/task_path_test.cc
+++ b/Tests/Process/task_path_test.cc
@@ -32,7 +32,7 @@
     -> bool {
   return WaitFor(
       [&]() -> bool { return CountState(deployment, state) == tasks; },
-      kPatience);
+      kTestTimeout);
 }
 
 auto FieldOf(const std::string& line, const std::string& name) -> std::string {
@@ -46,13 +46,13 @@
   return "";
 }
 
-// Every task finished exactly once, by the workers' own accounts.
+// Expects that every task has finished exactly once according to the workers.
 auto ExpectFinishedOnce(Deployment& deployment, std::size_t tasks) -> void {
   std::map<std::string, int> finishes;
   const std::string events = deployment.WorkerEvents();
   for (const auto& line : absl::StrSplit(events, '\n')) {
     if (FieldOf(std::string(line), "event") == "finish") {
-      // The name without its attempt is the task's.
+      // The name identifies the task; it does not include the attempt.
       ++finishes[FieldOf(std::string(line), "name")];
     }
   }
@@ -72,8 +72,8 @@
 
 struct Fault {
   std::string name;
-  // What happens while tasks run.
-  std::function<auto(Deployment&)->void> strike;
+  // Injects the fault while tasks run.
+  std::function<auto(Deployment&)->void> inject;
 };
 
 auto PrintTo(const Fault& fault, std::ostream* out) -> void {
@@ -85,26 +85,26 @@
   deployment.Start(name);
 }
 
-// Stops a process by signal for longer than any lease, then wakes it.
+// Suspends a process for longer than any lease, then resumes it.
 auto Pause(Deployment& deployment, const std::string& name) -> void {
   constexpr std::chrono::seconds kLongerThanLeases{6};
   deployment.process(name).Freeze();
   std::this_thread::sleep_for(kLongerThanLeases);
-  deployment.process(name).Wake();
+  deployment.process(name).Resume();
 }
 
 class TaskFault : public testing::TestWithParam<Fault> {};
 
-// Symptom: a task runs twice, in two places, or never again. Sequence: the
-// named processes are killed, frozen or cut while tasks run. Cause: an order,
-// lease or record that outlives the process or the belief behind it.
+// Guards against a task that runs twice, runs in two places or never runs again
+// because an order, lease or record outlives the process or the state that it
+// is based on: the named processes are killed or suspended while tasks run.
 TEST_P(TaskFault, EveryTaskFinishesOnce) {
   Deployment deployment({});
   ASSERT_TRUE(deployment.StartAll());
   constexpr int kTasks = 6;
   ASSERT_EQ(deployment.Apply({Job("compaction", kTasks, "run 3000")}), 0);
   ASSERT_TRUE(WaitState(deployment, "running", kTasks));
-  GetParam().strike(deployment);
+  GetParam().inject(deployment);
   EXPECT_TRUE(WaitState(deployment, "finished", kTasks));
   ExpectFinishedOnce(deployment, kTasks);
 }
@@ -151,8 +151,8 @@
       return info.param.name;
     });
 
-// Symptom: running tasks die in a platform outage. Sequence: the log is down
-// for longer than every lease. Cause: leases tied to the log.
+// Guards against running tasks that are stopped in a platform outage because
+// their leases depend on the log: the log is down for longer than every lease.
 TEST(TaskPath, RunningTasksOutliveALogOutage) {
   Deployment deployment({});
   ASSERT_TRUE(deployment.StartAll());
@@ -165,21 +165,21 @@
   }
 }
 
-// Symptom: work of a stopped agent is lost. Sequence: SIGTERM to an agent with
-// running tasks. Cause: tasks stopped without a checkpoint or a record.
+// Guards against work that is lost when an agent with running tasks receives
+// SIGTERM, because tasks are stopped without a checkpoint or a record.
 TEST(TaskPath, PlannedStopMovesTasks) {
   Deployment deployment({});
   ASSERT_TRUE(deployment.StartAll());
   ASSERT_EQ(deployment.Apply({Job("moved", 6, "run 4000")}), 0);
   ASSERT_TRUE(WaitState(deployment, "running", 6));
   deployment.process("agent-0").Signal(SIGTERM);
-  EXPECT_EQ(deployment.process("agent-0").WaitExit(kPatience), 0);
+  EXPECT_EQ(deployment.process("agent-0").WaitExit(kTestTimeout), 0);
   EXPECT_TRUE(WaitState(deployment, "finished", 6));
   ExpectFinishedOnce(deployment, 6);
 }
 
-// Symptom: a cancelled job goes on. Sequence: the operator cancels it. Cause:
-// orders sent once and lost, or a stop that is not confirmed.
+// Guards against a cancelled job that continues to run because an order is sent
+// once and lost, or because a stop is not confirmed.
 TEST(TaskPath, CancelledJobStops) {
   Deployment deployment({});
   ASSERT_TRUE(deployment.StartAll());
@@ -189,9 +189,10 @@
   EXPECT_TRUE(WaitState(deployment, "cancelled", 4));
 }
 
-// Symptom: a job that fits nowhere blocks others, without a word. Sequence: it
-// is submitted before one that fits. Cause: a queue served strictly in order.
-TEST(TaskPath, JobThatCanNeverRunIsNamedAndBlocksNobody) {
+// Guards against a job that fits on no instance and blocks others without an
+// explanation, because the queue is served strictly in order: the job is
+// submitted before one that fits.
+TEST(TaskPath, JobThatCanNeverRunIsExplainedAndBlocksNoOther) {
   Deployment deployment({});
   ASSERT_TRUE(deployment.StartAll());
   ASSERT_EQ(deployment.Apply({R"({"name":"huge","tasks":1,"command":"run 100",)"
--- a/Tests/Soak/checks.cc
+++ b/Tests/Soak/checks.cc
@@ -12,7 +12,7 @@
 
 using std::chrono::seconds;
 
-// Bounds that the platform and the operators are promised.
+// Bounds that are guaranteed to the platform and the operators.
 constexpr seconds kStopsAfterCancel{4};
 constexpr seconds kKnownAfter{3};
 constexpr seconds kRunsAfter{10};
@@ -25,7 +25,7 @@
   return status >= 200 && status < 300;
 }
 
-auto IsRefused(unsigned status) -> bool {
+auto IsRejected(unsigned status) -> bool {
   return status == 503 || status == 429;
 }
 
@@ -37,44 +37,47 @@
 
 }  // namespace
 
-auto PromiseName(Promise promise) -> std::string {
+auto GuaranteeName(Guarantee guarantee) -> std::string {
   constexpr std::array<const char*, 7> kNames = {
       "once", "cancelled", "known", "lasts", "completes", "refused", "alive"};
-  return kNames.at(static_cast<std::size_t>(promise));
+  return kNames.at(static_cast<std::size_t>(guarantee));
 }
 
-Checks::Checks(TimePoint start, const Calm* calm)
-    : start_(start), calm_(calm), room_since_(start) {}
+Checks::Checks(TimePoint start, const FaultFreePeriod* fault_free)
+    : start_(start), fault_free_(fault_free), room_since_(start) {}
 
-auto Checks::Break(Promise promise, const std::string& job, std::string what)
-    -> void {
-  broken_.push_back({promise, Since(Clock::now()), job, std::move(what)});
+auto Checks::AddViolation(Guarantee guarantee,
+                          const std::string& job,
+                          std::string description) -> void {
+  violations_.push_back(
+      {guarantee, ElapsedAt(Clock::now()), job, std::move(description)});
 }
 
-auto Checks::HandedIn(const std::string& job) -> void {
+auto Checks::SubmitSent(const std::string& job) -> void {
   const std::lock_guard lock(mutex_);
   ++jobs_[job].unanswered;
 }
 
-auto Checks::HandInAnswered(const std::string& job, unsigned status) -> void {
+auto Checks::SubmitAnswered(const std::string& job, unsigned status) -> void {
   const std::lock_guard lock(mutex_);
   auto& view = jobs_[job];
   --view.unanswered;
-  if (IsRefused(status)) {
-    ++view.refusals;
+  if (IsRejected(status)) {
+    ++view.rejections;
   } else {
     view.accepted_or_unknown = true;
   }
   if (IsAccepted(status) && !view.accepted) {
     view.accepted = Clock::now();
   }
-  const bool only_refused =
-      !view.accepted_or_unknown && view.unanswered == 0 && view.refusals > 0;
-  if (only_refused) {
-    ++looks_[Promise::kRefused];
+  const bool only_rejected =
+      !view.accepted_or_unknown && view.unanswered == 0 && view.rejections > 0;
+  if (only_rejected) {
+    ++check_counts_[Guarantee::kRejectedNeverRuns];
   }
-  if (only_refused && view.starts > 0) {
-    Break(Promise::kRefused, job, "has run and every hand-in was refused");
+  if (only_rejected && view.starts > 0) {
+    AddViolation(Guarantee::kRejectedNeverRuns, job,
+                 "has run although every submission was rejected");
   }
 }
 
@@ -87,18 +90,18 @@
     -> void {
   const std::lock_guard lock(mutex_);
   auto& view = jobs_[job];
-  const bool holds = IsAccepted(status) || status == 410;
-  if (!holds || view.cancelled) {
+  const bool acknowledged = IsAccepted(status) || status == 410;
+  if (!acknowledged || view.cancelled) {
     return;
   }
   view.cancelled = Clock::now();
   view.cancel_answer = absl::StrCat(status, " by entry-", entry);
-  ++looks_[Promise::kCancelled];
+  ++check_counts_[Guarantee::kCancelled];
 }
 
 auto Checks::StateAnswered(const std::string& job,
                            int entry,
-                           TimePoint asked,
+                           TimePoint sent_at,
                            unsigned status,
                            const std::string& body) -> void {
   const std::lock_guard lock(mutex_);
@@ -107,33 +110,34 @@
     view.state = body;
   }
   const bool should_know =
-      view.accepted && asked - *view.accepted > kKnownAfter;
+      view.accepted && sent_at - *view.accepted > kKnownAfter;
   if (!should_know || (status != 200 && status != 410)) {
     return;
   }
-  ++looks_[Promise::kKnown];
+  ++check_counts_[Guarantee::kKnown];
   if (status == 410) {
-    Break(Promise::kKnown, job,
-          absl::StrCat("entry-", entry, " answers 410, accepted at ",
-                       Milliseconds(Since(*view.accepted)), " ms"));
+    AddViolation(Guarantee::kKnown, job,
+                 absl::StrCat("entry-", entry, " answers 410, accepted at ",
+                              Milliseconds(ElapsedAt(*view.accepted)), " ms"));
   }
-  const bool should_be_over = view.cancelled &&
-                              asked - *view.cancelled > kStopsAfterCancel &&
-                              calm_->LastedFor(kStopsAfterCancel, asked);
+  const bool should_be_over =
+      view.cancelled && sent_at - *view.cancelled > kStopsAfterCancel &&
+      fault_free_->HasLasted(kStopsAfterCancel, sent_at);
   if (status == 200 && should_be_over && !IsOver(body)) {
-    Break(
-        Promise::kCancelled, job,
-        absl::StrCat("entry-", entry, " answers ", body, ", ", WhenSent(view)));
+    AddViolation(Guarantee::kCancelled, job,
+                 absl::StrCat("entry-", entry, " answers ", body, ", ",
+                              DescribeCancel(view)));
   }
 }
 
-auto Checks::WhenSent(const JobView& job) const -> std::string {
+auto Checks::DescribeCancel(const JobView& job) const -> std::string {
   const std::string accepted =
-      job.accepted ? absl::StrCat("accepted at ",
-                                  Milliseconds(Since(*job.accepted)), " ms, ")
-                   : "";
+      job.accepted
+          ? absl::StrCat("accepted at ", Milliseconds(ElapsedAt(*job.accepted)),
+                         " ms, ")
+          : "";
   return absl::StrCat(accepted, "its cancel was answered ", job.cancel_answer,
-                      " at ", Milliseconds(Since(*job.cancelled)), " ms");
+                      " at ", Milliseconds(ElapsedAt(*job.cancelled)), " ms");
 }
 
 auto Checks::Started(const std::string& worker,
@@ -143,38 +147,39 @@
   const TimePoint now = Clock::now();
   auto& view = jobs_[task.job()];
   ++view.starts;
-  ++looks_[Promise::kOnce];
-  const bool only_refused =
-      !view.accepted_or_unknown && view.unanswered == 0 && view.refusals > 0;
-  if (only_refused) {
-    Break(Promise::kRefused, task.job(),
-          absl::StrCat(DescribeTask(task), " starts on ", worker,
-                       ", every hand-in was refused"));
+  ++check_counts_[Guarantee::kRunsOnce];
+  const bool only_rejected =
+      !view.accepted_or_unknown && view.unanswered == 0 && view.rejections > 0;
+  if (only_rejected) {
+    AddViolation(Guarantee::kRejectedNeverRuns, task.job(),
+                 absl::StrCat(DescribeTask(task), " starts on ", worker,
+                              " although every submission was rejected"));
   }
   if (view.cancelled && now - *view.cancelled > kStopsAfterCancel &&
-      calm_->LastedFor(kStopsAfterCancel, now)) {
-    Break(Promise::kCancelled, task.job(),
-          absl::StrCat(DescribeTask(task), " run ", run, " starts on ", worker,
-                       ", ", WhenSent(view)));
+      fault_free_->HasLasted(kStopsAfterCancel, now)) {
+    AddViolation(Guarantee::kCancelled, task.job(),
+                 absl::StrCat(DescribeTask(task), " run ", run, " starts on ",
+                              worker, ", ", DescribeCancel(view)));
   }
 }
 
-auto Checks::TwiceSeen(const std::string& problem) -> void {
+auto Checks::DuplicateRunSeen(const std::string& problem) -> void {
   const std::lock_guard lock(mutex_);
-  Break(Promise::kOnce, problem.substr(0, problem.find('.')), problem);
+  AddViolation(Guarantee::kRunsOnce, problem.substr(0, problem.find('.')),
+               problem);
 }
 
 auto Checks::DaemonEnded(const std::string& name) -> void {
   const std::lock_guard lock(mutex_);
-  Break(Promise::kAlive, "", name + " has ended by itself");
+  AddViolation(Guarantee::kStaysUp, "", name + " exited without a request");
 }
 
-auto Checks::LastingTasks(TimePoint now) -> std::vector<std::string> {
+auto Checks::LongRunningTasks(TimePoint now) -> std::vector<std::string> {
   const std::lock_guard lock(mutex_);
   std::vector<std::string> tasks;
   for (const auto& [job, view] : jobs_) {
-    const bool lasts = KindOf(job) == JobKind::kLasting;
-    if (!lasts || !view.accepted || view.cancel_sent ||
+    const bool long_running = KindOf(job) == JobKind::kLongRunning;
+    if (!long_running || !view.accepted || view.cancel_sent ||
         now - *view.accepted < kRunsAfter) {
       continue;
     }
@@ -185,38 +190,39 @@
   return tasks;
 }
 
-auto Checks::LookAtLasting(test::PlatformStandIn* platform) -> void {
+auto Checks::CheckLongRunning(test::PlatformStandIn* platform) -> void {
   const TimePoint now = Clock::now();
-  const auto calm_since = calm_->since();
-  // The stand-in calls this object under its own lock, so it is asked first.
+  const auto fault_free_since = fault_free_->since();
+  // The stand-in calls this object while it holds its own lock. To avoid a
+  // deadlock, it is queried before this object's lock is taken.
   std::map<std::string, bool> runs;
-  for (const auto& task : LastingTasks(now)) {
+  for (const auto& task : LongRunningTasks(now)) {
     runs[task] = platform->Runs(task);
   }
-  const bool room = platform->HasRoom();
+  const bool has_room = platform->HasRoom();
   const std::lock_guard lock(mutex_);
-  if (!room) {
+  if (!has_room) {
     room_since_ = now;
   }
-  for (const auto& [task, is_there] : runs) {
-    ++looks_[Promise::kLasts];
-    if (is_there) {
-      absent_since_.erase(task);
+  for (const auto& [task, is_running] : runs) {
+    ++check_counts_[Guarantee::kRunsContinuously];
+    if (is_running) {
+      not_running_since_.erase(task);
       continue;
     }
-    auto& since = absent_since_.try_emplace(task, now).first->second;
-    if (!calm_since) {
+    auto& since = not_running_since_.try_emplace(task, now).first->second;
+    if (!fault_free_since) {
       continue;
     }
-    const TimePoint from = std::max({since, *calm_since, room_since_});
+    const TimePoint from = std::max({since, *fault_free_since, room_since_});
     const std::string job = task.substr(0, task.find('.'));
     if (now - from > kRunsAfter && !jobs_[job].cancel_sent) {
-      Break(
-          Promise::kLasts, job,
-          absl::StrCat(task, " does not run since ", Milliseconds(Since(since)),
-                       " ms, and there is room since ",
-                       Milliseconds(Since(room_since_)), " ms"));
-      // Said once for each span of this length.
+      AddViolation(Guarantee::kRunsContinuously, job,
+                   absl::StrCat(task, " has not been running since ",
+                                Milliseconds(ElapsedAt(since)),
+                                " ms, and there has been capacity since ",
+                                Milliseconds(ElapsedAt(room_since_)), " ms"));
+      // Reports one violation for each interval of this length.
       since = now;
     }
   }
@@ -225,13 +231,14 @@
 auto Checks::ExpectOver(const std::string& job) -> void {
   const std::lock_guard lock(mutex_);
   auto& view = jobs_[job];
-  ++looks_[Promise::kCompletes];
-  const char* wanted =
+  ++check_counts_[Guarantee::kCompletes];
+  const char* expected_state =
       KindOf(job) == JobKind::kFailing ? "failed" : "completed";
-  if (!view.cancel_sent && !absl::StrContains(view.state, wanted)) {
-    Break(Promise::kCompletes, job,
-          absl::StrCat("accepted at ", Milliseconds(Since(*view.accepted)),
-                       " ms, is ", view.state, ", not ", wanted));
+  if (!view.cancel_sent && !absl::StrContains(view.state, expected_state)) {
+    AddViolation(
+        Guarantee::kCompletes, job,
+        absl::StrCat("accepted at ", Milliseconds(ElapsedAt(*view.accepted)),
+                     " ms, is ", view.state, ", not ", expected_state));
   }
 }
 
@@ -239,8 +246,8 @@
     -> void {
   const std::lock_guard lock(mutex_);
   if (!known) {
-    Break(Promise::kKnown, job,
-          absl::StrCat("entry-", entry, " does not answer at the end"));
+    AddViolation(Guarantee::kKnown, job,
+                 absl::StrCat("entry-", entry, " does not answer at the end"));
   }
 }
 
@@ -260,22 +267,22 @@
   std::vector<std::string> open;
   for (const auto& [job, view] : jobs_) {
     if (view.accepted && !view.cancel_sent && !IsOver(view.state) &&
-        KindOf(job) != JobKind::kLasting) {
+        KindOf(job) != JobKind::kLongRunning) {
       open.push_back(job);
     }
   }
   return open;
 }
 
-auto Checks::broken() const -> std::vector<Broken> {
+auto Checks::violations() const -> std::vector<Violation> {
   const std::lock_guard lock(mutex_);
-  return broken_;
+  return violations_;
 }
 
-auto Checks::looks(Promise promise) const -> uint64_t {
+auto Checks::check_count(Guarantee guarantee) const -> uint64_t {
   const std::lock_guard lock(mutex_);
-  const auto found = looks_.find(promise);
-  return found == looks_.end() ? 0 : found->second;
+  const auto found = check_counts_.find(guarantee);
+  return found == check_counts_.end() ? 0 : found->second;
 }
 
 auto Checks::Summary() const -> std::string {
@@ -283,15 +290,15 @@
   int accepted = 0;
   int cancelled = 0;
   int cancelled_as_unknown = 0;
-  int refused = 0;
+  int not_accepted = 0;
   for (const auto& [job, view] : jobs_) {
     accepted += view.accepted ? 1 : 0;
-    refused += view.accepted ? 0 : 1;
+    not_accepted += view.accepted ? 0 : 1;
     cancelled += view.cancelled ? 1 : 0;
     cancelled_as_unknown += view.cancel_answer.starts_with("410") ? 1 : 0;
   }
-  return absl::StrCat(jobs_.size(), " jobs handed in, ", accepted,
-                      " accepted, ", refused, " not, ", cancelled,
+  return absl::StrCat(jobs_.size(), " jobs submitted, ", accepted,
+                      " accepted, ", not_accepted, " not accepted, ", cancelled,
                       " cancelled, of which ", cancelled_as_unknown,
                       " were answered 410");
 }
--- a/Tests/Soak/checks.h
+++ b/Tests/Soak/checks.h
@@ -15,71 +15,73 @@
 
 namespace rhubarbhaven::soak {
 
-enum class Promise {
-  // A task is in one place, and is not run again after a noted end.
-  kOnce,
-  // Nothing of a cancelled job starts.
+enum class Guarantee {
+  // A task runs in one place at a time, and not again after its end is
+  // recorded.
+  kRunsOnce,
+  // No task of a cancelled job starts.
   kCancelled,
-  // An accepted job is known.
+  // Every entry knows an accepted job.
   kKnown,
-  // What lasts runs while there is room.
-  kLasts,
-  // What is short gets to its end.
+  // A long-running task runs whenever there is capacity for it.
+  kRunsContinuously,
+  // A job that ends by itself reaches its final state.
   kCompletes,
-  // A job that was refused never runs.
-  kRefused,
-  // A daemon ends only when it is told to.
-  kAlive,
+  // A job that was rejected never runs.
+  kRejectedNeverRuns,
+  // A daemon exits only on request.
+  kStaysUp,
 };
 
-struct Broken {
-  Promise promise = Promise::kOnce;
+struct Violation {
+  Guarantee guarantee = Guarantee::kRunsOnce;
   Duration at{0};
   std::string job;
-  std::string what;
+  std::string description;
 };
 
-// What callers were told and what workers did, against the promises. For all
-// threads.
+// Checks the answers that callers received and the actions of workers against
+// the guarantees. Thread-safe.
 class Checks {
  public:
-  Checks(TimePoint start, const Calm* calm);
+  Checks(TimePoint start, const FaultFreePeriod* fault_free);
 
-  auto HandedIn(const std::string& job) -> void;
-  // The status of an answer is zero if none came.
-  auto HandInAnswered(const std::string& job, unsigned status) -> void;
+  auto SubmitSent(const std::string& job) -> void;
+  // `status` is the HTTP status of the answer, zero if there was none.
+  auto SubmitAnswered(const std::string& job, unsigned status) -> void;
   auto CancelSent(const std::string& job) -> void;
   auto CancelAnswered(const std::string& job, int entry, unsigned status)
       -> void;
-  // Of a question that was sent at `asked`.
+  // Answer to a query that was sent at `sent_at`.
   auto StateAnswered(const std::string& job,
                      int entry,
-                     TimePoint asked,
+                     TimePoint sent_at,
                      unsigned status,
                      const std::string& body) -> void;
   auto Started(const std::string& worker,
                const jobs::TaskName& task,
                uint64_t run) -> void;
-  auto TwiceSeen(const std::string& problem) -> void;
+  auto DuplicateRunSeen(const std::string& problem) -> void;
   auto DaemonEnded(const std::string& name) -> void;
-  // Looks at what should run by now.
-  auto LookAtLasting(test::PlatformStandIn* platform) -> void;
-  // Once nothing is handed in any more and the bounds have passed.
+  // Checks that the tasks which should be running do run.
+  auto CheckLongRunning(test::PlatformStandIn* platform) -> void;
+  // To be called when no more jobs are submitted and the bounds have passed.
   auto ExpectOver(const std::string& job) -> void;
   auto ExpectKnown(const std::string& job, int entry, bool known) -> void;
 
   auto AcceptedJobs() const -> std::vector<std::string>;
-  // Accepted jobs that end by themselves and are not seen at their end yet.
+  // Accepted jobs that end by themselves and whose end has not been observed
+  // yet.
   auto OpenJobs() const -> std::vector<std::string>;
-  auto broken() const -> std::vector<Broken>;
-  // How often the promise was looked at.
-  auto looks(Promise promise) const -> uint64_t;
+  auto violations() const -> std::vector<Violation>;
+  // Number of times the guarantee was checked.
+  auto check_count(Guarantee guarantee) const -> uint64_t;
   auto Summary() const -> std::string;
 
  private:
   struct JobView {
     int unanswered = 0;
-    int refusals = 0;
+    int rejections = 0;
     bool accepted_or_unknown = false;
     std::optional<TimePoint> accepted;
     bool cancel_sent = false;
@@ -89,23 +91,25 @@
     int starts = 0;
   };
 
-  auto Break(Promise promise, const std::string& job, std::string what) -> void;
-  auto Since(TimePoint when) const -> Duration { return when - start_; }
-  auto WhenSent(const JobView& job) const -> std::string;
-  // Names of tasks that should run.
-  auto LastingTasks(TimePoint now) -> std::vector<std::string>;
+  auto AddViolation(Guarantee guarantee,
+                    const std::string& job,
+                    std::string description) -> void;
+  auto ElapsedAt(TimePoint when) const -> Duration { return when - start_; }
+  auto DescribeCancel(const JobView& job) const -> std::string;
+  // Names of the long-running tasks that should be running.
+  auto LongRunningTasks(TimePoint now) -> std::vector<std::string>;
 
   TimePoint start_;
-  const Calm* calm_;
+  const FaultFreePeriod* fault_free_;
   mutable std::mutex mutex_;
   std::map<std::string, JobView> jobs_;
-  std::map<std::string, TimePoint> absent_since_;
+  std::map<std::string, TimePoint> not_running_since_;
   TimePoint room_since_;
-  std::vector<Broken> broken_;
-  std::map<Promise, uint64_t> looks_;
+  std::vector<Violation> violations_;
+  std::map<Guarantee, uint64_t> check_counts_;
 };
 
-auto PromiseName(Promise promise) -> std::string;
+auto GuaranteeName(Guarantee guarantee) -> std::string;
 
 }  // namespace rhubarbhaven::soak
 
--- a/Tests/Soak/clients.cc
+++ b/Tests/Soak/clients.cc
@@ -8,15 +8,15 @@
 using std::chrono::milliseconds;
 
 constexpr int kThreadsPerEntry = 4;
-// Jobs that each agent is handed in a second: about half of its room.
+// Jobs submitted per second for each agent: about half of its capacity.
 constexpr double kJobsPerAgentSecond = 1.2;
-constexpr milliseconds kIdle{2};
-constexpr milliseconds kAgain{300};
-constexpr milliseconds kFirstAsk{3100};
-constexpr milliseconds kNextAsk{2000};
+constexpr milliseconds kIdleInterval{2};
+constexpr milliseconds kRetryInterval{300};
+constexpr milliseconds kFirstQueryDelay{3100};
+constexpr milliseconds kQueryInterval{2000};
 constexpr int64_t kPercent = 100;
 
-auto EndsTheMatter(unsigned status) -> bool {
+auto IsFinalStatus(unsigned status) -> bool {
   return status == 410 || (status >= 200 && status < 300);
 }
 
@@ -27,11 +27,11 @@
                  Checks* checks)
     : addresses_(std::move(addresses)),
       checks_(checks),
-      between_jobs_(
+      submit_interval_(
           static_cast<int64_t>(1e6 / (kJobsPerAgentSecond * options.agents))),
       random_(options.seed),
       next_job_(Clock::now()),
-      most_kept_lasting_(options.agents / 2 + 1) {
+      max_uncancelled_long_running_(options.agents / 2 + 1) {
   for (int i = 0; i < kThreadsPerEntry * options.entries; ++i) {
     threads_.emplace_back([this]() -> void { Run(); });
   }
@@ -47,45 +47,45 @@
 auto Clients::Run() -> void {
   EntryCaller caller(addresses_);
   while (!stop_) {
-    Deed deed;
-    if (Next(&deed)) {
-      Do(deed, &caller);
+    Action action;
+    if (Next(&action)) {
+      Execute(action, &caller);
     } else {
-      std::this_thread::sleep_for(kIdle);
+      std::this_thread::sleep_for(kIdleInterval);
     }
   }
 }
 
-auto Clients::Next(Deed* deed) -> bool {
+auto Clients::Next(Action* action) -> bool {
   const std::lock_guard lock(mutex_);
   const TimePoint now = Clock::now();
-  if (!deeds_.empty() && deeds_.begin()->first <= now) {
-    *deed = std::move(deeds_.begin()->second);
-    deeds_.erase(deeds_.begin());
+  if (!actions_.empty() && actions_.begin()->first <= now) {
+    *action = std::move(actions_.begin()->second);
+    actions_.erase(actions_.begin());
     return true;
   }
-  if (!hands_in_ || next_job_ > now) {
+  if (!submits_jobs_ || next_job_ > now) {
     return false;
   }
-  next_job_ = now + between_jobs_;
-  *deed = NewJob();
+  next_job_ = now + submit_interval_;
+  *action = NewJob();
   return true;
 }
 
-auto Clients::NewJob() -> Deed {
+auto Clients::NewJob() -> Action {
   constexpr int64_t kLastingShare = 30;
   constexpr int64_t kWideShare = 8;
   constexpr int64_t kFailingShare = 6;
-  const int64_t dice = Pick(0, kPercent - 1);
+  const int64_t draw = Pick(0, kPercent - 1);
   JobKind kind = JobKind::kShort;
-  if (dice < kLastingShare) {
-    kind = JobKind::kLasting;
-  } else if (dice < kLastingShare + kWideShare) {
+  if (draw < kLastingShare) {
+    kind = JobKind::kLongRunning;
+  } else if (draw < kLastingShare + kWideShare) {
     kind = JobKind::kWide;
-  } else if (dice < kLastingShare + kWideShare + kFailingShare) {
+  } else if (draw < kLastingShare + kWideShare + kFailingShare) {
     kind = JobKind::kFailing;
   }
-  return {Act::kHandIn, MakeJobId(kind, random_()), AnyEntry()};
+  return {ActionKind::kSubmit, MakeJobId(kind, random_()), AnyEntry()};
 }
 
 auto Clients::Pick(int64_t low, int64_t high) -> int64_t {
@@ -97,86 +97,90 @@
   return static_cast<int>(Pick(0, static_cast<int64_t>(addresses_.size()) - 1));
 }
 
-auto Clients::Later(milliseconds wait, Deed deed) -> void {
-  deeds_.emplace(Clock::now() + wait, std::move(deed));
+auto Clients::ScheduleAfter(milliseconds wait, Action action) -> void {
+  actions_.emplace(Clock::now() + wait, std::move(action));
 }
 
-auto Clients::Do(const Deed& deed, EntryCaller* caller) -> void {
-  switch (deed.act) {
-    case Act::kHandIn:
-      HandIn(deed, caller);
+auto Clients::Execute(const Action& action, EntryCaller* caller) -> void {
+  switch (action.action_kind) {
+    case ActionKind::kSubmit:
+      Submit(action, caller);
       break;
-    case Act::kRepeat:
-      caller->HandIn(deed.entry, deed.job);
+    case ActionKind::kRepeat:
+      caller->Submit(action.entry, action.job);
       break;
-    case Act::kCancel:
-      Cancel(deed, caller);
+    case ActionKind::kCancel:
+      Cancel(action, caller);
       break;
-    case Act::kAsk:
-      Ask(deed, caller);
+    case ActionKind::kQuery:
+      Query(action, caller);
       break;
   }
 }
 
-auto Clients::HandIn(const Deed& deed, EntryCaller* caller) -> void {
-  constexpr int64_t kGivesUpWhenRefused = 50;
-  checks_->HandedIn(deed.job);
-  const unsigned status = caller->HandIn(deed.entry, deed.job).status;
-  checks_->HandInAnswered(deed.job, status);
+auto Clients::Submit(const Action& action, EntryCaller* caller) -> void {
+  constexpr int64_t kAbandonedWhenRejectedShare = 50;
+  checks_->SubmitSent(action.job);
+  const unsigned status = caller->Submit(action.entry, action.job).status;
+  checks_->SubmitAnswered(action.job, status);
   const std::lock_guard lock(mutex_);
   if (status >= 200 && status < 300) {
-    PlanAfter(deed.job);
+    ScheduleFollowUps(action.job);
     return;
   }
-  const bool refused = status == 503 || status == 429;
-  if (refused && Pick(0, kPercent - 1) < kGivesUpWhenRefused) {
+  const bool rejected = status == 503 || status == 429;
+  if (rejected && Pick(0, kPercent - 1) < kAbandonedWhenRejectedShare) {
     return;
   }
-  Later(kAgain, {Act::kHandIn, deed.job, AnyEntry()});
+  ScheduleAfter(kRetryInterval, {ActionKind::kSubmit, action.job, AnyEntry()});
 }
 
-auto Clients::PlanAfter(const std::string& job) -> void {
+auto Clients::ScheduleFollowUps(const std::string& job) -> void {
   constexpr int64_t kCancelledShortShare = 20;
-  constexpr int64_t kAtOnceShare = 50;
+  constexpr int64_t kEarlyCancelShare = 50;
   constexpr int64_t kRepeatedShare = 10;
-  constexpr int64_t kMostCancels = 3;
+  constexpr int64_t kMaxCancels = 3;
   if (Pick(0, kPercent - 1) < kRepeatedShare) {
-    Later(milliseconds(Pick(500, 5000)), {Act::kRepeat, job, AnyEntry()});
+    ScheduleAfter(milliseconds(Pick(500, 5000)),
+                  {ActionKind::kRepeat, job, AnyEntry()});
   }
-  Later(kFirstAsk, {Act::kAsk, job, AnyEntry()});
-  const bool lasts = KindOf(job) == JobKind::kLasting;
-  if (lasts && kept_lasting_ < most_kept_lasting_) {
-    ++kept_lasting_;
+  ScheduleAfter(kFirstQueryDelay, {ActionKind::kQuery, job, AnyEntry()});
+  const bool long_running = KindOf(job) == JobKind::kLongRunning;
+  if (long_running &&
+      uncancelled_long_running_ < max_uncancelled_long_running_) {
+    ++uncancelled_long_running_;
     return;
   }
-  if (!lasts && Pick(0, kPercent - 1) >= kCancelledShortShare) {
+  if (!long_running && Pick(0, kPercent - 1) >= kCancelledShortShare) {
     return;
   }
-  const bool at_once = Pick(0, kPercent - 1) < kAtOnceShare;
-  const milliseconds wait(at_once ? Pick(0, 60) : Pick(60, 4000));
-  for (int64_t left = Pick(1, kMostCancels); left > 0; --left) {
-    Later(wait + milliseconds(Pick(0, 20)), {Act::kCancel, job, AnyEntry()});
+  const bool cancels_early = Pick(0, kPercent - 1) < kEarlyCancelShare;
+  const milliseconds wait(cancels_early ? Pick(0, 60) : Pick(60, 4000));
+  for (int64_t left = Pick(1, kMaxCancels); left > 0; --left) {
+    ScheduleAfter(wait + milliseconds(Pick(0, 20)),
+                  {ActionKind::kCancel, job, AnyEntry()});
   }
 }
 
-auto Clients::Cancel(const Deed& deed, EntryCaller* caller) -> void {
-  checks_->CancelSent(deed.job);
-  const unsigned status = caller->Cancel(deed.entry, deed.job).status;
-  checks_->CancelAnswered(deed.job, deed.entry, status);
-  if (!EndsTheMatter(status)) {
+auto Clients::Cancel(const Action& action, EntryCaller* caller) -> void {
+  checks_->CancelSent(action.job);
+  const unsigned status = caller->Cancel(action.entry, action.job).status;
+  checks_->CancelAnswered(action.job, action.entry, status);
+  if (!IsFinalStatus(status)) {
     const std::lock_guard lock(mutex_);
-    Later(kAgain, {Act::kCancel, deed.job, AnyEntry()});
+    ScheduleAfter(kRetryInterval,
+                  {ActionKind::kCancel, action.job, AnyEntry()});
   }
 }
 
-auto Clients::Ask(const Deed& deed, EntryCaller* caller) -> void {
-  const TimePoint asked = Clock::now();
-  const CallerAnswer answer = caller->Ask(deed.entry, deed.job);
-  checks_->StateAnswered(deed.job, deed.entry, asked, answer.status,
+auto Clients::Query(const Action& action, EntryCaller* caller) -> void {
+  const TimePoint sent_at = Clock::now();
+  const CallerAnswer answer = caller->Query(action.entry, action.job);
+  checks_->StateAnswered(action.job, action.entry, sent_at, answer.status,
                          answer.body);
   const std::lock_guard lock(mutex_);
-  if (hands_in_) {
-    Later(kNextAsk, {Act::kAsk, deed.job, AnyEntry()});
+  if (submits_jobs_) {
+    ScheduleAfter(kQueryInterval, {ActionKind::kQuery, action.job, AnyEntry()});
   }
 }
 
--- a/Tests/Soak/clients.h
+++ b/Tests/Soak/clients.h
@@ -16,9 +16,8 @@
 
 namespace rhubarbhaven::soak {
 
-// Callers on threads of their own, who hand in, ask for and cancel jobs. They
-// share one list of what is to be done when, so that several of them act on
-// one job.
+// Threads that submit, query and cancel jobs as callers do. They share one
+// schedule of actions, so that several threads act on the same job.
 class Clients {
  public:
   Clients(const SoakOptions& options,
@@ -28,42 +27,43 @@
   auto operator=(const Clients&) -> Clients& = delete;
   ~Clients();
 
-  // No more jobs from now on; what is under way goes on.
-  auto StopHandingIn() -> void { hands_in_ = false; }
+  // Stops submitting new jobs; scheduled actions are still executed.
+  auto StopSubmitting() -> void { submits_jobs_ = false; }
 
  private:
-  enum class Act { kHandIn, kRepeat, kAsk, kCancel };
-  struct Deed {
-    Act act = Act::kHandIn;
+  enum class ActionKind { kSubmit, kRepeat, kQuery, kCancel };
+  struct Action {
+    ActionKind action_kind = ActionKind::kSubmit;
     std::string job;
     int entry = 0;
   };
 
   auto Run() -> void;
-  auto Do(const Deed& deed, EntryCaller* caller) -> void;
-  auto HandIn(const Deed& deed, EntryCaller* caller) -> void;
-  auto Cancel(const Deed& deed, EntryCaller* caller) -> void;
-  auto Ask(const Deed& deed, EntryCaller* caller) -> void;
-  // What follows on the acceptance of a job.
-  auto PlanAfter(const std::string& job) -> void;
-  auto Later(std::chrono::milliseconds wait, Deed deed) -> void;
-  // Takes the next deed that is due; false for none.
-  auto Next(Deed* deed) -> bool;
-  auto NewJob() -> Deed;
+  auto Execute(const Action& action, EntryCaller* caller) -> void;
+  auto Submit(const Action& action, EntryCaller* caller) -> void;
+  auto Cancel(const Action& action, EntryCaller* caller) -> void;
+  auto Query(const Action& action, EntryCaller* caller) -> void;
+  // Schedules the queries, repeats and cancels of an accepted job.
+  auto ScheduleFollowUps(const std::string& job) -> void;
+  auto ScheduleAfter(std::chrono::milliseconds wait, Action action) -> void;
+  // Removes the next action that is due and stores it in `action`; returns
+  // false if there is none.
+  auto Next(Action* action) -> bool;
+  auto NewJob() -> Action;
   auto Pick(int64_t low, int64_t high) -> int64_t;
   auto AnyEntry() -> int;
 
   std::vector<std::string> addresses_;
   Checks* checks_;
-  std::chrono::microseconds between_jobs_;
+  std::chrono::microseconds submit_interval_;
   std::atomic<bool> stop_ = false;
-  std::atomic<bool> hands_in_ = true;
+  std::atomic<bool> submits_jobs_ = true;
   std::mutex mutex_;
   std::mt19937_64 random_;
-  std::multimap<TimePoint, Deed> deeds_;
+  std::multimap<TimePoint, Action> actions_;
   TimePoint next_job_;
-  int kept_lasting_ = 0;
-  int most_kept_lasting_;
+  int uncancelled_long_running_ = 0;
+  int max_uncancelled_long_running_;
   std::vector<std::thread> threads_;
 };
 
--- a/Tests/Soak/entry_caller.cc
+++ b/Tests/Soak/entry_caller.cc
@@ -7,15 +7,15 @@
 namespace rhubarbhaven::soak {
 namespace {
 
-constexpr std::chrono::seconds kPatience{4};
+constexpr std::chrono::seconds kCallTimeout{4};
 
 }  // namespace
 
-auto EntryCaller::HandIn(int entry, const std::string& job) -> CallerAnswer {
+auto EntryCaller::Submit(int entry, const std::string& job) -> CallerAnswer {
   return Call(entry, "POST", job, JobBody(KindOf(job)));
 }
 
-auto EntryCaller::Ask(int entry, const std::string& job) -> CallerAnswer {
+auto EntryCaller::Query(int entry, const std::string& job) -> CallerAnswer {
   return Call(entry, "GET", job, "");
 }
 
@@ -31,7 +31,7 @@
   request.method = method;
   request.url = absl::StrCat("http://", addresses_.at(entry), "/jobs/", job);
   request.body = body;
-  request.timeout = kPatience;
+  request.timeout = kCallTimeout;
   schema::HttpHeader host;
   host.set_name("Host");
   host.set_value("queue.example");
--- a/Tests/Soak/entry_caller.h
+++ b/Tests/Soak/entry_caller.h
@@ -10,20 +10,20 @@
 namespace rhubarbhaven::soak {
 
 struct CallerAnswer {
-  // Zero if there was none.
+  // HTTP status; zero if there was no answer.
   unsigned status = 0;
   std::string body;
 };
 
-// Calls entries as one caller, one call at a time, and keeps its connections
-// open until their process is gone.
+// Calls entries one call at a time, and keeps each connection open until the
+// entry's process exits.
 class EntryCaller {
  public:
   explicit EntryCaller(std::vector<std::string> addresses)
       : addresses_(std::move(addresses)) {}
 
-  auto HandIn(int entry, const std::string& job) -> CallerAnswer;
-  auto Ask(int entry, const std::string& job) -> CallerAnswer;
+  auto Submit(int entry, const std::string& job) -> CallerAnswer;
+  auto Query(int entry, const std::string& job) -> CallerAnswer;
   auto Cancel(int entry, const std::string& job) -> CallerAnswer;
   auto entries() const -> int { return static_cast<int>(addresses_.size()); }
 
--- a/Tests/Soak/fault_injector.cc
+++ b/Tests/Soak/fault_injector.cc
@@ -12,18 +12,18 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kLinkDelay{400};
-// Longer than a read may take by the daemons' own limits.
+// Exceeds the daemons' time-out for reads.
 constexpr milliseconds kReadDelay{1500};
-constexpr std::size_t kFewBytesPerSecond = 4 << 10;
+constexpr std::size_t kTrickleBytesPerSecond = 4 << 10;
 constexpr char kReadRequest[] = "GET /rhubarbhaven/log-read";
 
 auto NameOf(const Fault& fault) -> std::string {
-  return absl::StrCat(fault.subject == Subject::kEntry ? "entry-" : "agent-",
+  return absl::StrCat(fault.target == Target::kEntry ? "entry-" : "agent-",
                       fault.number);
 }
 
-auto RelayFaultOf(FaultKind kind) -> test::RelayFault {
-  test::RelayFault fault;
+auto ProxyFaultFor(FaultKind kind) -> test::ProxyFault {
+  test::ProxyFault fault;
   switch (kind) {
     case FaultKind::kDelayRequests:
       fault.request_delay = kLinkDelay;
@@ -31,19 +31,19 @@
     case FaultKind::kDelayAnswers:
       fault.answer_delay = kLinkDelay;
       break;
-    case FaultKind::kAnswersVanish:
+    case FaultKind::kDropAnswers:
       fault.drops_answers = true;
       break;
-    case FaultKind::kReadsVanish:
+    case FaultKind::kDropReadAnswers:
       fault.drops_answers = true;
-      fault.only = kReadRequest;
+      fault.request_prefix = kReadRequest;
       break;
-    case FaultKind::kReadsSlow:
+    case FaultKind::kDelayReadAnswers:
       fault.answer_delay = kReadDelay;
-      fault.only = kReadRequest;
+      fault.request_prefix = kReadRequest;
       break;
-    case FaultKind::kTrickle:
-      fault.bytes_per_second = kFewBytesPerSecond;
+    case FaultKind::kLimitRate:
+      fault.bytes_per_second = kTrickleBytesPerSecond;
       break;
     default:
       break;
@@ -53,24 +53,24 @@
 
 }  // namespace
 
-auto Calm::Begin(TimePoint now) -> void {
+auto FaultFreePeriod::Begin(TimePoint now) -> void {
   const std::lock_guard lock(mutex_);
   ++active_;
   since_ = now;
 }
 
-auto Calm::End(TimePoint now) -> void {
+auto FaultFreePeriod::End(TimePoint now) -> void {
   const std::lock_guard lock(mutex_);
   --active_;
   since_ = now;
 }
 
-auto Calm::since() const -> std::optional<TimePoint> {
+auto FaultFreePeriod::since() const -> std::optional<TimePoint> {
   const std::lock_guard lock(mutex_);
   return active_ > 0 ? std::nullopt : std::optional(since_);
 }
 
-auto Calm::LastedFor(Duration span, TimePoint now) const -> bool {
+auto FaultFreePeriod::HasLasted(Duration span, TimePoint now) const -> bool {
   const auto begin = since();
   return begin && now - *begin >= span;
 }
@@ -78,24 +78,24 @@
 FaultInjector::FaultInjector(std::vector<Fault> schedule,
                              TimePoint start,
                              Processes* processes,
-                             Calm* calm)
+                             FaultFreePeriod* fault_free)
     : schedule_(std::move(schedule)),
       start_(start),
       processes_(processes),
-      calm_(calm) {}
+      fault_free_(fault_free) {}
 
 auto FaultInjector::Step(TimePoint now) -> void {
-  while (!lasting_.empty() && lasting_.begin()->first <= now) {
-    const Fault fault = lasting_.begin()->second;
-    lasting_.erase(lasting_.begin());
+  while (!active_faults_.empty() && active_faults_.begin()->first <= now) {
+    const Fault fault = active_faults_.begin()->second;
+    active_faults_.erase(active_faults_.begin());
     End(fault);
-    calm_->End(Clock::now());
+    fault_free_->End(Clock::now());
   }
   while (next_ < schedule_.size() && start_ + schedule_[next_].at <= now) {
     const Fault& fault = schedule_[next_++];
-    calm_->Begin(now);
+    fault_free_->Begin(now);
     Begin(fault);
-    lasting_.emplace(now + fault.lasts, fault);
+    active_faults_.emplace(now + fault.duration, fault);
   }
 }
 
@@ -105,37 +105,37 @@
 }
 
 auto FaultInjector::Begin(const Fault& fault) -> void {
-  switch (fault.subject) {
-    case Subject::kEntry:
-    case Subject::kAgent:
+  switch (fault.target) {
+    case Target::kEntry:
+    case Target::kAgent:
       BeginAtProcess(fault);
       break;
-    case Subject::kEntryLink:
-    case Subject::kAgentLink:
+    case Target::kEntryLink:
+    case Target::kAgentLink:
       BeginAtLink(fault);
       break;
-    case Subject::kLog:
-    case Subject::kWorker:
+    case Target::kLog:
+    case Target::kWorker:
       BeginAtPlatform(fault);
       break;
   }
 }
 
 auto FaultInjector::End(const Fault& fault) -> void {
-  switch (fault.subject) {
-    case Subject::kEntry:
-    case Subject::kAgent:
+  switch (fault.target) {
+    case Target::kEntry:
+    case Target::kAgent:
       EndAtProcess(fault);
       break;
-    case Subject::kEntryLink:
-    case Subject::kAgentLink:
+    case Target::kEntryLink:
+    case Target::kAgentLink:
       LinkOf(fault).SetFault({});
-      LinkOf(fault).Cut(false);
+      LinkOf(fault).SetPartitioned(false);
       break;
-    case Subject::kLog:
+    case Target::kLog:
       processes_->platform().SetLogMode(VirtualLog::Mode::kServes);
       break;
-    case Subject::kWorker:
+    case Target::kWorker:
       break;
   }
 }
@@ -162,13 +162,13 @@
 
 auto FaultInjector::EndAtProcess(const Fault& fault) -> void {
   if (fault.kind == FaultKind::kFreeze) {
-    ProcessOf(fault).Wake();
+    ProcessOf(fault).Resume();
   }
   if (!IsDown(NameOf(fault))) {
     return;
   }
   ProcessOf(fault).Kill();
-  if (fault.subject == Subject::kEntry) {
+  if (fault.target == Target::kEntry) {
     processes_->StartEntry(fault.number);
   } else {
     processes_->StartAgent(fault.number);
@@ -179,17 +179,17 @@
 auto FaultInjector::BeginAtLink(const Fault& fault) -> void {
   auto& link = LinkOf(fault);
   switch (fault.kind) {
-    case FaultKind::kSilenceOpen:
-      link.SilenceOpenConnections();
+    case FaultKind::kBlackholeOpen:
+      link.BlackholeOpenConnections();
       break;
-    case FaultKind::kCut:
-      link.Cut(true);
+    case FaultKind::kPartition:
+      link.SetPartitioned(true);
       break;
     case FaultKind::kReset:
       link.ResetOpenConnections();
       break;
     default:
-      link.SetFault(RelayFaultOf(fault.kind));
+      link.SetFault(ProxyFaultFor(fault.kind));
       break;
   }
 }
@@ -215,15 +215,15 @@
   }
 }
 
-auto FaultInjector::LinkOf(const Fault& fault) -> test::SilentRelay& {
-  return fault.subject == Subject::kEntryLink
+auto FaultInjector::LinkOf(const Fault& fault) -> test::FaultProxy& {
+  return fault.target == Target::kEntryLink
              ? processes_->entry_link(fault.number)
              : processes_->agent_link(fault.number);
 }
 
 auto FaultInjector::ProcessOf(const Fault& fault) -> test::ChildProcess& {
-  return fault.subject == Subject::kEntry ? processes_->entry(fault.number)
-                                          : processes_->agent(fault.number);
+  return fault.target == Target::kEntry ? processes_->entry(fault.number)
+                                        : processes_->agent(fault.number);
 }
 
 }  // namespace rhubarbhaven::soak
--- a/Tests/Soak/fault_injector.h
+++ b/Tests/Soak/fault_injector.h
@@ -13,14 +13,14 @@
 
 namespace rhubarbhaven::soak {
 
-// Since when the rig injects no fault. For all threads.
-class Calm {
+// Tracks since when no fault has been active. Thread-safe.
+class FaultFreePeriod {
  public:
   auto Begin(TimePoint now) -> void;
   auto End(TimePoint now) -> void;
-  // Empty while a fault lasts.
+  // Empty while a fault is active.
   auto since() const -> std::optional<TimePoint>;
-  auto LastedFor(Duration span, TimePoint now) const -> bool;
+  auto HasLasted(Duration span, TimePoint now) const -> bool;
 
  private:
   mutable std::mutex mutex_;
@@ -28,16 +28,16 @@
   TimePoint since_;
 };
 
-// Carries out a schedule, in steps of its one thread.
+// Injects the faults of a schedule. `Step` is to be called by one thread.
 class FaultInjector {
  public:
   FaultInjector(std::vector<Fault> schedule,
                 TimePoint start,
                 Processes* processes,
-                Calm* calm);
+                FaultFreePeriod* fault_free);
 
   auto Step(TimePoint now) -> void;
-  // Whether the rig has ended this daemon itself, for now.
+  // Whether the injector has stopped this daemon and not yet restarted it.
   auto IsDown(const std::string& name) const -> bool;
 
  private:
@@ -47,15 +47,15 @@
   auto EndAtProcess(const Fault& fault) -> void;
   auto BeginAtLink(const Fault& fault) -> void;
   auto BeginAtPlatform(const Fault& fault) -> void;
-  auto LinkOf(const Fault& fault) -> test::SilentRelay&;
+  auto LinkOf(const Fault& fault) -> test::FaultProxy&;
   auto ProcessOf(const Fault& fault) -> test::ChildProcess&;
 
   std::vector<Fault> schedule_;
   std::size_t next_ = 0;
   TimePoint start_;
   Processes* processes_;
-  Calm* calm_;
-  std::multimap<TimePoint, Fault> lasting_;
+  FaultFreePeriod* fault_free_;
+  std::multimap<TimePoint, Fault> active_faults_;
   std::map<std::string, bool> down_;
 };
 
--- a/Tests/Soak/job_plan.cc
+++ b/Tests/Soak/job_plan.cc
@@ -13,13 +13,13 @@
 
 struct KindRow {
   char digit;
-  // Tasks of each step; a step follows the one before it.
+  // Number of tasks of each step; each step depends on the previous one.
   std::vector<int> steps;
-  milliseconds shortest;
-  milliseconds longest;
+  milliseconds min_duration;
+  milliseconds max_duration;
 };
 
-auto RowOf(JobKind kind) -> const KindRow& {
+auto FindRow(JobKind kind) -> const KindRow& {
   static const std::array<KindRow, 4> rows = {{
       {'a', {2}, milliseconds(1500), milliseconds(9000)},
       {'b', {2, 1}, milliseconds(50), milliseconds(700)},
@@ -33,7 +33,7 @@
 
 auto MakeJobId(JobKind kind, uint64_t random) -> std::string {
   constexpr uint64_t kFirstDigit = uint64_t{0xf} << 60;
-  return absl::StrFormat("%c%015x", RowOf(kind).digit, random & ~kFirstDigit);
+  return absl::StrFormat("%c%015x", FindRow(kind).digit, random & ~kFirstDigit);
 }
 
 auto KindOf(const std::string& id) -> JobKind {
@@ -43,12 +43,12 @@
 auto JobBody(JobKind kind) -> std::string {
   std::string steps;
   int number = 0;
-  for (const int count : RowOf(kind).steps) {
+  for (const int count : FindRow(kind).steps) {
     const std::string after =
         number == 0 ? "" : absl::StrCat(R"("After":[)", number - 1, "],");
-    const std::string lasts =
-        kind == JobKind::kLasting ? R"("LongRunning":true,)" : "";
-    absl::StrAppend(&steps, number == 0 ? "" : ",", "{", after, lasts,
+    const std::string long_running =
+        kind == JobKind::kLongRunning ? R"("LongRunning":true,)" : "";
+    absl::StrAppend(&steps, number == 0 ? "" : ",", "{", after, long_running,
                     R"("Cpu":1000,"EstimatedMs":300,"Count":)", count, "}");
     ++number;
   }
@@ -58,7 +58,7 @@
 auto TasksOf(const std::string& id) -> std::vector<std::string> {
   std::vector<std::string> tasks;
   int step = 0;
-  for (const int count : RowOf(KindOf(id)).steps) {
+  for (const int count : FindRow(KindOf(id)).steps) {
     for (int index = 0; index < count; ++index) {
       tasks.push_back(absl::StrCat(id, ".0.", step, ".", index));
     }
@@ -67,17 +67,17 @@
   return tasks;
 }
 
-auto WorkOf(const jobs::TaskName& task) -> milliseconds {
-  const KindRow& row = RowOf(KindOf(task.job()));
+auto RunDuration(const jobs::TaskName& task) -> milliseconds {
+  const KindRow& row = FindRow(KindOf(task.job()));
   const auto span =
-      static_cast<std::size_t>((row.longest - row.shortest).count());
+      static_cast<std::size_t>((row.max_duration - row.min_duration).count());
   const std::size_t hash = std::hash<std::string>()(DescribeTask(task));
-  return row.shortest + milliseconds(hash % span);
+  return row.min_duration + milliseconds(hash % span);
 }
 
-auto Fails(const jobs::TaskName& task) -> bool {
+auto RunFails(const jobs::TaskName& task) -> bool {
   const JobKind kind = KindOf(task.job());
-  return kind == JobKind::kLasting || kind == JobKind::kFailing;
+  return kind == JobKind::kLongRunning || kind == JobKind::kFailing;
 }
 
 }  // namespace rhubarbhaven::soak
--- a/Tests/Soak/job_plan.h
+++ b/Tests/Soak/job_plan.h
@@ -10,25 +10,25 @@
 
 namespace rhubarbhaven::soak {
 
-// What kind of job an id names: its first digit tells.
+// Kind of a job, encoded in the first digit of its id.
 enum class JobKind {
-  kLasting,
+  kLongRunning,
   kShort,
   // One step of many tasks.
   kWide,
-  // Its tasks fail, so that it ends as failed.
+  // All tasks fail, so that the job fails.
   kFailing,
 };
 
 auto MakeJobId(JobKind kind, uint64_t random) -> std::string;
 auto KindOf(const std::string& id) -> JobKind;
-// What a caller hands in.
+// Body of the request that submits such a job.
 auto JobBody(JobKind kind) -> std::string;
 // Names of all tasks of the job.
 auto TasksOf(const std::string& id) -> std::vector<std::string>;
-// How long a run of the task takes. What lasts ends too, as failed.
-auto WorkOf(const jobs::TaskName& task) -> std::chrono::milliseconds;
-auto Fails(const jobs::TaskName& task) -> bool;
+// How long a run of the task takes. A long-running task ends, too, as failed.
+auto RunDuration(const jobs::TaskName& task) -> std::chrono::milliseconds;
+auto RunFails(const jobs::TaskName& task) -> bool;
 
 }  // namespace rhubarbhaven::soak
 
--- a/Tests/Soak/lag_meter.h
+++ b/Tests/Soak/lag_meter.h
@@ -10,14 +10,14 @@
 
 namespace rhubarbhaven::soak {
 
-// How late a thread of the rig gets to run: a machine that is overloaded
-// delays the daemons as much.
-class LagMeter {
+// Measures by how much a sleeping thread is woken late. On an overloaded
+// machine the daemons are delayed by as much.
+class SchedulingLagMeter {
  public:
-  LagMeter() : thread_([this]() -> void { Run(); }) {}
-  LagMeter(const LagMeter&) = delete;
-  auto operator=(const LagMeter&) -> LagMeter& = delete;
-  ~LagMeter() {
+  SchedulingLagMeter() : thread_([this]() -> void { Run(); }) {}
+  SchedulingLagMeter(const SchedulingLagMeter&) = delete;
+  auto operator=(const SchedulingLagMeter&) -> SchedulingLagMeter& = delete;
+  ~SchedulingLagMeter() {
     stop_ = true;
     thread_.join();
   }
@@ -26,9 +26,9 @@
 
  private:
   auto Run() -> void {
-    constexpr std::chrono::milliseconds kTurn{10};
+    constexpr std::chrono::milliseconds kSampleInterval{10};
     while (!stop_) {
-      const TimePoint due = Clock::now() + kTurn;
+      const TimePoint due = Clock::now() + kSampleInterval;
       std::this_thread::sleep_until(due);
       const auto late = std::chrono::duration_cast<std::chrono::milliseconds>(
           Clock::now() - due);
--- a/Tests/Soak/processes.cc
+++ b/Tests/Soak/processes.cc
@@ -45,16 +45,16 @@
 Processes::~Processes() {
   entries_.clear();
   agents_.clear();
-  // The relays hold connections that the stand-in would wait for.
+  // The proxies hold connections open, and the stand-in would wait for them.
   entry_links_.clear();
   agent_links_.clear();
 }
 
-auto Processes::AddLink(std::vector<std::unique_ptr<test::SilentRelay>>* links,
+auto Processes::AddLink(std::vector<std::unique_ptr<test::FaultProxy>>* links,
                         std::vector<std::string>* addresses) -> void {
   const int port = test::FreePort();
   links->push_back(
-      std::make_unique<test::SilentRelay>(port, platform_->log_port()));
+      std::make_unique<test::FaultProxy>(port, platform_->log_port()));
   addresses->push_back(test::LoopbackAddress(port));
 }
 
@@ -70,7 +70,7 @@
 auto Processes::StartEntry(int number) -> void {
   const std::string name = absl::StrCat("entry-", number);
   entries_[number] =
-      Start(name, test::SettingsOf(test::EntryPlace{
+      Start(name, test::RenderSettings(test::EntryAddresses{
                       name, callers_addresses_[number],
                       ready_addresses_[number], entry_log_addresses_[number]}));
 }
@@ -79,22 +79,22 @@
   const std::string name = absl::StrCat("agent-", number);
   agents_[number] = Start(
       name,
-      test::SettingsOf(test::AgentPlace{
+      test::RenderSettings(test::AgentAddresses{
           name, heartbeat_addresses_[number], platform_->worker_address(number),
           link_addresses_[number], agent_log_addresses_[number]}));
 }
 
 auto Processes::Ended() -> std::vector<std::string> {
   std::vector<std::string> ended;
-  const auto look = [&ended](auto& processes, const char* kind) -> void {
+  const auto collect = [&ended](auto& processes, const char* kind) -> void {
     for (std::size_t i = 0; i < processes.size(); ++i) {
       if (processes[i]->WaitExit(std::chrono::milliseconds(0))) {
         ended.push_back(absl::StrCat(kind, i));
       }
     }
   };
-  look(entries_, "entry-");
-  look(agents_, "agent-");
+  collect(entries_, "entry-");
+  collect(agents_, "agent-");
   return ended;
 }
 
--- a/Tests/Soak/processes.h
+++ b/Tests/Soak/processes.h
@@ -8,13 +8,13 @@
 #include "Tests/Soak/soak_options.h"
 #include "Tests/StandIns/Platform/platform_stand_in.h"
 #include "Tests/Support/child_process.h"
-#include "Tests/Support/silent_relay.h"
+#include "Tests/Support/fault_proxy.h"
 
 namespace rhubarbhaven::soak {
 
-// The daemons under test, the platform's stand-in, and a relay between each
-// daemon and the log. All of it ends with this object. One thread only: the
-// daemons end with the thread that started them.
+// The daemons under test, the platform's stand-in, and a fault proxy between
+// each daemon and the log. The destructor stops all of them. To be used by one
+// thread: the kernel kills the daemons when the thread that started them exits.
 class Processes {
  public:
   Processes(const SoakOptions& options,
@@ -27,26 +27,26 @@
   auto platform() -> test::PlatformStandIn& { return *platform_; }
   auto entry(int number) -> test::ChildProcess& { return *entries_[number]; }
   auto agent(int number) -> test::ChildProcess& { return *agents_[number]; }
-  auto entry_link(int number) -> test::SilentRelay& {
+  auto entry_link(int number) -> test::FaultProxy& {
     return *entry_links_[number];
   }
-  auto agent_link(int number) -> test::SilentRelay& {
+  auto agent_link(int number) -> test::FaultProxy& {
     return *agent_links_[number];
   }
-  // Starts one anew, under the same name and addresses.
+  // Starts the daemon, again under the same name and addresses.
   auto StartEntry(int number) -> void;
   auto StartAgent(int number) -> void;
-  // Where callers reach each entry.
+  // Address of each entry for callers.
   auto callers_addresses() const -> const std::vector<std::string>& {
     return callers_addresses_;
   }
-  // Names of the daemons that are not there.
+  // Names of the daemons that have exited.
   auto Ended() -> std::vector<std::string>;
 
  private:
   auto Start(const std::string& name, const std::string& settings)
       -> std::unique_ptr<test::ChildProcess>;
-  auto AddLink(std::vector<std::unique_ptr<test::SilentRelay>>* links,
+  auto AddLink(std::vector<std::unique_ptr<test::FaultProxy>>* links,
                std::vector<std::string>* addresses) -> void;
 
   std::string binary_;
@@ -58,8 +58,8 @@
   std::vector<std::string> entry_log_addresses_;
   std::vector<std::string> agent_log_addresses_;
   std::unique_ptr<test::PlatformStandIn> platform_;
-  std::vector<std::unique_ptr<test::SilentRelay>> entry_links_;
-  std::vector<std::unique_ptr<test::SilentRelay>> agent_links_;
+  std::vector<std::unique_ptr<test::FaultProxy>> entry_links_;
+  std::vector<std::unique_ptr<test::FaultProxy>> agent_links_;
   std::vector<std::unique_ptr<test::ChildProcess>> entries_;
   std::vector<std::unique_ptr<test::ChildProcess>> agents_;
 };
--- a/Tests/Soak/report.cc
+++ b/Tests/Soak/report.cc
@@ -12,12 +12,13 @@
 namespace rhubarbhaven::soak {
 namespace {
 
-constexpr std::size_t kMostCases = 5;
-constexpr std::size_t kMostJobsTraced = 2;
-constexpr std::size_t kMostLines = 40;
+constexpr std::size_t kMaxCases = 5;
+constexpr std::size_t kMaxJobsTraced = 2;
+constexpr std::size_t kMaxLines = 40;
 
-// Of all daemons, in the order of their times.
-auto LinesOf(const std::string& job, const std::string& folder)
+// Returns the log lines of all daemons that contain the job's id, in the order
+// of their times.
+auto FindLogLines(const std::string& job, const std::string& folder)
     -> std::vector<std::string> {
   std::vector<std::string> lines;
   for (const auto& item : std::filesystem::directory_iterator(folder)) {
@@ -31,42 +32,42 @@
       }
     }
   }
-  // Each line begins with its time.
+  // Each line begins with its time, so this sorts by time.
   std::sort(lines.begin(), lines.end());
-  lines.resize(std::min(lines.size(), kMostLines));
+  lines.resize(std::min(lines.size(), kMaxLines));
   return lines;
 }
 
-auto CasesOf(Promise promise, const std::vector<Broken>& all)
-    -> std::vector<Broken> {
-  std::vector<Broken> cases;
-  for (const auto& broken : all) {
-    if (broken.promise == promise) {
-      cases.push_back(broken);
+auto SelectCases(Guarantee guarantee, const std::vector<Violation>& all)
+    -> std::vector<Violation> {
+  std::vector<Violation> cases;
+  for (const auto& violation : all) {
+    if (violation.guarantee == guarantee) {
+      cases.push_back(violation);
     }
   }
   return cases;
 }
 
-auto CaseLine(const Broken& item) -> std::string {
+auto CaseLine(const Violation& item) -> std::string {
   const auto at =
       std::chrono::duration_cast<std::chrono::milliseconds>(item.at);
   return absl::StrFormat("  %6d ms, job %s: %s\n", at.count(), item.job,
-                         item.what);
+                         item.description);
 }
 
-auto DescribeCases(const std::vector<Broken>& cases, const std::string& folder)
-    -> std::string {
+auto DescribeCases(const std::vector<Violation>& cases,
+                   const std::string& folder) -> std::string {
   std::string text;
   std::set<std::string> traced;
-  for (std::size_t i = 0; i < std::min(cases.size(), kMostCases); ++i) {
+  for (std::size_t i = 0; i < std::min(cases.size(), kMaxCases); ++i) {
     const auto& item = cases[i];
     text += CaseLine(item);
-    if (item.job.empty() || traced.size() == kMostJobsTraced ||
+    if (item.job.empty() || traced.size() == kMaxJobsTraced ||
         !traced.insert(item.job).second) {
       continue;
     }
-    for (const auto& line : LinesOf(item.job, folder)) {
+    for (const auto& line : FindLogLines(item.job, folder)) {
       absl::StrAppend(&text, "    ", line, "\n");
     }
   }
@@ -86,13 +87,14 @@
 auto VerdictText(const Checks& checks, const std::string& folder)
     -> std::string {
   std::string text = checks.Summary() + "\n";
-  const auto broken = checks.broken();
-  for (int i = 0; i <= static_cast<int>(Promise::kAlive); ++i) {
-    const auto promise = static_cast<Promise>(i);
-    const auto cases = CasesOf(promise, broken);
-    absl::StrAppendFormat(
-        &text, "%-10s %s, %d cases, looked at %d times\n", PromiseName(promise),
-        cases.empty() ? "kept" : "BROKEN", cases.size(), checks.looks(promise));
+  const auto violations = checks.violations();
+  for (int i = 0; i <= static_cast<int>(Guarantee::kStaysUp); ++i) {
+    const auto guarantee = static_cast<Guarantee>(i);
+    const auto cases = SelectCases(guarantee, violations);
+    absl::StrAppendFormat(&text, "%-10s %s, %d cases, looked at %d times\n",
+                          GuaranteeName(guarantee),
+                          cases.empty() ? "kept" : "BROKEN", cases.size(),
+                          checks.check_count(guarantee));
     absl::StrAppend(&text, DescribeCases(cases, folder));
   }
   return text;
@@ -100,8 +102,8 @@
 
 auto CasesText(const Checks& checks) -> std::string {
   std::string text;
-  for (const auto& item : checks.broken()) {
-    absl::StrAppend(&text, PromiseName(item.promise), CaseLine(item));
+  for (const auto& item : checks.violations()) {
+    absl::StrAppend(&text, GuaranteeName(item.guarantee), CaseLine(item));
   }
   return text;
 }
--- a/Tests/Soak/report.h
+++ b/Tests/Soak/report.h
@@ -10,15 +10,15 @@
 
 namespace rhubarbhaven::soak {
 
-// One line for each fault.
+// Returns one line for each fault.
 auto ScheduleText(const std::vector<Fault>& schedule) -> std::string;
 
-// The verdict for each promise, with the first cases and the lines of the
-// daemons' logs in `folder` that name their jobs.
+// Returns the verdict for each guarantee, with the first violations and the
+// lines of the daemons' logs in `folder` that contain the ids of their jobs.
 auto VerdictText(const Checks& checks, const std::string& folder)
     -> std::string;
 
-// One line for every case of a broken promise.
+// Returns one line for every violation.
 auto CasesText(const Checks& checks) -> std::string;
 
 }  // namespace rhubarbhaven::soak
--- a/Tests/Soak/schedule.cc
+++ b/Tests/Soak/schedule.cc
@@ -13,28 +13,29 @@
 
 using std::chrono::milliseconds;
 
-// Entries and agents become ready in it.
+// Time in which entries and agents become ready.
 constexpr milliseconds kWarmUp{6000};
-// Calm at the end of the load, longer than the bound on lasting tasks.
-constexpr milliseconds kTail{11000};
-constexpr milliseconds kShortestCalm{500};
-// Longer than every check that waits for calm takes.
-constexpr milliseconds kLongestCalm{6000};
-constexpr milliseconds kLongestOffset{2500};
-// One fault at a time for so many daemons, at most.
+// Fault-free time at the end of the load. Exceeds the bound within which
+// long-running tasks must run.
+constexpr milliseconds kFinalFaultFreeTime{11000};
+constexpr milliseconds kMinFaultFreeTime{500};
+// Exceeds the fault-free time that any check requires.
+constexpr milliseconds kMaxFaultFreeTime{6000};
+constexpr milliseconds kMaxOffset{2500};
+// Limits concurrent faults to one for this many daemons.
 constexpr int kDaemonsPerFault = 2;
 
 struct KindRow {
   FaultKind kind;
   const char* name;
-  std::vector<Subject> subjects;
-  milliseconds shortest;
-  milliseconds longest;
+  std::vector<Target> targets;
+  milliseconds min_duration;
+  milliseconds max_duration;
 };
 
 auto Kinds() -> const std::vector<KindRow>& {
   using enum FaultKind;
-  using enum Subject;
+  using enum Target;
   static const std::vector<KindRow> kinds = {
       {kKill, "kill", {kEntry, kAgent}, milliseconds(50), milliseconds(5000)},
       {kFreeze,
@@ -54,32 +55,32 @@
        {kEntryLink, kAgentLink},
        milliseconds(1000),
        milliseconds(6000)},
-      {kAnswersVanish,
+      {kDropAnswers,
        "answers vanish",
        {kEntryLink, kAgentLink},
        milliseconds(300),
        milliseconds(6000)},
-      {kReadsVanish,
+      {kDropReadAnswers,
        "answers to reads vanish",
        {kEntryLink},
        milliseconds(300),
        milliseconds(6000)},
-      {kReadsSlow,
+      {kDelayReadAnswers,
        "answers to reads are late",
        {kEntryLink},
        milliseconds(1000),
        milliseconds(6000)},
-      {kTrickle,
+      {kLimitRate,
        "few bytes a second",
        {kEntryLink},
        milliseconds(1000),
        milliseconds(6000)},
-      {kSilenceOpen,
+      {kBlackholeOpen,
        "open connections silent",
        {kEntryLink, kAgentLink},
        milliseconds(0),
        milliseconds(0)},
-      {kCut,
+      {kPartition,
        "cut",
        {kEntryLink, kAgentLink},
        milliseconds(200),
@@ -106,27 +107,27 @@
   return kinds;
 }
 
-auto SubjectName(Subject subject) -> const char* {
+auto TargetName(Target target) -> const char* {
   constexpr std::array<const char*, 6> kNames = {
       "entry", "agent", "entry's link", "agent's link", "log", "worker"};
-  return kNames.at(static_cast<std::size_t>(subject));
+  return kNames.at(static_cast<std::size_t>(target));
 }
 
-auto CountOf(Subject subject, const SoakOptions& options) -> int {
-  switch (subject) {
-    case Subject::kEntry:
-    case Subject::kEntryLink:
+auto CountOf(Target target, const SoakOptions& options) -> int {
+  switch (target) {
+    case Target::kEntry:
+    case Target::kEntryLink:
       return options.entries;
-    case Subject::kLog:
+    case Target::kLog:
       return 1;
     default:
       return options.agents;
   }
 }
 
-class Draw {
+class RandomSource {
  public:
-  explicit Draw(uint64_t seed) : random_(seed) {}
+  explicit RandomSource(uint64_t seed) : random_(seed) {}
 
   auto Pick(int64_t low, int64_t high) -> int64_t {
     const auto span = static_cast<uint64_t>(high - low + 1);
@@ -144,42 +145,44 @@
   std::mt19937_64 random_;
 };
 
-auto DrawFault(const SoakOptions& options, milliseconds at, Draw* draw)
-    -> Fault {
-  const KindRow& row = draw->Of(Kinds());
+auto DrawFault(const SoakOptions& options,
+               milliseconds at,
+               RandomSource* random_source) -> Fault {
+  const KindRow& row = random_source->Of(Kinds());
   Fault fault;
-  fault.at = at + draw->Pick(milliseconds(0), kLongestOffset);
-  fault.lasts = draw->Pick(row.shortest, row.longest);
+  fault.at = at + random_source->Pick(milliseconds(0), kMaxOffset);
+  fault.duration = random_source->Pick(row.min_duration, row.max_duration);
   fault.kind = row.kind;
-  fault.subject = draw->Of(row.subjects);
-  fault.number =
-      static_cast<int>(draw->Pick(0, CountOf(fault.subject, options) - 1));
+  fault.target = random_source->Of(row.targets);
+  fault.number = static_cast<int>(
+      random_source->Pick(0, CountOf(fault.target, options) - 1));
   return fault;
 }
 
 }  // namespace
 
 auto MakeSchedule(const SoakOptions& options) -> std::vector<Fault> {
-  Draw draw(options.seed);
+  RandomSource random_source(options.seed);
   std::vector<Fault> faults;
-  std::map<std::pair<Subject, int>, milliseconds> busy_until;
-  const milliseconds end = options.load - kTail;
-  const int most_at_once =
+  std::map<std::pair<Target, int>, milliseconds> busy_until;
+  const milliseconds end = options.load - kFinalFaultFreeTime;
+  const int max_concurrent =
       std::max(1, (options.entries + options.agents) / kDaemonsPerFault);
   milliseconds at = kWarmUp;
   while (at < end) {
     milliseconds group_end = at;
-    for (int64_t left = draw.Pick(1, most_at_once); left > 0; --left) {
-      const Fault fault = DrawFault(options, at, &draw);
-      auto& busy = busy_until[{fault.subject, fault.number}];
-      if (fault.at + fault.lasts > end || fault.at < busy) {
+    for (int64_t left = random_source.Pick(1, max_concurrent); left > 0;
+         --left) {
+      const Fault fault = DrawFault(options, at, &random_source);
+      auto& busy = busy_until[{fault.target, fault.number}];
+      if (fault.at + fault.duration > end || fault.at < busy) {
         continue;
       }
-      busy = fault.at + fault.lasts + milliseconds(1);
+      busy = fault.at + fault.duration + milliseconds(1);
       group_end = std::max(group_end, busy);
       faults.push_back(fault);
     }
-    at = group_end + draw.Pick(kShortestCalm, kLongestCalm);
+    at = group_end + random_source.Pick(kMinFaultFreeTime, kMaxFaultFreeTime);
   }
   std::stable_sort(
       faults.begin(), faults.end(),
@@ -192,7 +195,7 @@
       Kinds().begin(), Kinds().end(),
       [&fault](const KindRow& item) { return item.kind == fault.kind; });
   return absl::StrFormat("%6d ms, for %4d ms: %s %d: %s", fault.at.count(),
-                         fault.lasts.count(), SubjectName(fault.subject),
+                         fault.duration.count(), TargetName(fault.target),
                          fault.number, row->name);
 }
 
--- a/Tests/Soak/schedule.h
+++ b/Tests/Soak/schedule.h
@@ -16,12 +16,12 @@
   kReload,
   kDelayRequests,
   kDelayAnswers,
-  kAnswersVanish,
-  kReadsVanish,
-  kReadsSlow,
-  kTrickle,
-  kSilenceOpen,
-  kCut,
+  kDropAnswers,
+  kDropReadAnswers,
+  kDelayReadAnswers,
+  kLimitRate,
+  kBlackholeOpen,
+  kPartition,
   kReset,
   kLogRefuses,
   kLogSilent,
@@ -30,20 +30,20 @@
   kWorkerCrash,
 };
 
-// What a fault acts on.
-enum class Subject { kEntry, kAgent, kEntryLink, kAgentLink, kLog, kWorker };
+// What a fault is applied to.
+enum class Target { kEntry, kAgent, kEntryLink, kAgentLink, kLog, kWorker };
 
 struct Fault {
   std::chrono::milliseconds at{0};
-  std::chrono::milliseconds lasts{0};
+  std::chrono::milliseconds duration{0};
   FaultKind kind = FaultKind::kKill;
-  Subject subject = Subject::kEntry;
+  Target target = Target::kEntry;
   // Number of the entry, agent or worker.
   int number = 0;
 };
 
-// In the order of their times. Faults overlap, but one thing has one fault at
-// a time.
+// Returns faults in the order of their times. Faults may overlap, but each
+// target has one fault at a time.
 auto MakeSchedule(const SoakOptions& options) -> std::vector<Fault>;
 
 auto Describe(const Fault& fault) -> std::string;
--- a/Tests/Soak/soak.cc
+++ b/Tests/Soak/soak.cc
@@ -1,5 +1,5 @@
-// Real daemons under load and faults, against what they promise. See
-// docs/manual/soak.md.
+// Runs real daemons under load and injected faults, and checks the guarantees
+// that they give. See docs/manual/soak.md.
 
 #include <absl/strings/str_cat.h>
 
@@ -27,21 +27,21 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr milliseconds kTurn{5};
-constexpr milliseconds kLookEach{200};
-constexpr milliseconds kAskEach{100};
-// From the last hand-in, which comes after the last fault, to the end of what
-// is short.
-constexpr seconds kCompletesWithin{20};
-// An entry that is there answers within it.
-constexpr seconds kAnswersWithin{5};
-// Later than this the machine is held to be overloaded.
-constexpr seconds kMostLag{1};
+constexpr milliseconds kStepInterval{5};
+constexpr milliseconds kCheckInterval{200};
+constexpr milliseconds kQueryInterval{100};
+// From the last submission, which follows the last fault, to the end of the
+// last job that ends by itself.
+constexpr seconds kCompletionTimeout{20};
+// Time within which a running entry must answer.
+constexpr seconds kAnswerTimeout{5};
+// With a longer scheduling delay the machine counts as overloaded.
+constexpr seconds kMaxLag{1};
 
-constexpr int kKept = 0;
-constexpr int kBrokenPromise = 1;
+constexpr int kPassed = 0;
+constexpr int kViolated = 1;
 constexpr int kLagged = 2;
-constexpr int kWrongUse = 3;
+constexpr int kUsageError = 3;
 constexpr int kInterrupted = 4;
 
 volatile std::sig_atomic_t g_interrupted = 0;
@@ -57,18 +57,18 @@
        const std::string& folder)
       : options_(options),
         start_(Clock::now()),
-        checks_(start_, &calm_),
+        checks_(start_, &fault_free_),
         processes_(options, folder, MakeWatch()),
-        injector_(std::move(schedule), start_, &processes_, &calm_) {}
+        injector_(std::move(schedule), start_, &processes_, &fault_free_) {}
 
   auto Run() -> void {
     {
       Clients clients(options_, processes_.callers_addresses(), &checks_);
       RunFor(options_.load);
-      clients.StopHandingIn();
+      clients.StopSubmitting();
       WaitForOpenJobs();
     }
-    AskEveryEntry();
+    QueryEveryEntry();
   }
 
   auto checks() const -> const Checks& { return checks_; }
@@ -77,14 +77,14 @@
  private:
   auto MakeWatch() -> test::PlatformHooks {
     test::PlatformHooks watch;
-    watch.work = WorkOf;
-    watch.fails = Fails;
+    watch.work = RunDuration;
+    watch.fails = RunFails;
     watch.on_start = [this](const std::string& worker,
                             const jobs::TaskName& task, uint64_t run) -> void {
       checks_.Started(worker, task, run);
     };
     watch.on_problem = [this](const std::string& problem) -> void {
-      checks_.TwiceSeen(problem);
+      checks_.DuplicateRunSeen(problem);
     };
     return watch;
   }
@@ -93,18 +93,18 @@
     const TimePoint end = Clock::now() + span;
     while (!g_interrupted && Clock::now() < end) {
       Step();
-      std::this_thread::sleep_for(kTurn);
+      std::this_thread::sleep_for(kStepInterval);
     }
   }
 
   auto Step() -> void {
     const TimePoint now = Clock::now();
     injector_.Step(now);
-    if (now < next_look_) {
+    if (now < next_check_) {
       return;
     }
-    next_look_ = now + kLookEach;
-    checks_.LookAtLasting(&processes_.platform());
+    next_check_ = now + kCheckInterval;
+    checks_.CheckLongRunning(&processes_.platform());
     for (const auto& name : processes_.Ended()) {
       if (!injector_.IsDown(name) && ended_.insert(name).second) {
         checks_.DaemonEnded(name);
@@ -112,40 +112,40 @@
     }
   }
 
-  auto Ask(int entry, const std::string& job) -> unsigned {
-    const TimePoint asked = Clock::now();
-    const CallerAnswer answer = caller_.Ask(entry, job);
-    checks_.StateAnswered(job, entry, asked, answer.status, answer.body);
+  auto Query(int entry, const std::string& job) -> unsigned {
+    const TimePoint sent_at = Clock::now();
+    const CallerAnswer answer = caller_.Query(entry, job);
+    checks_.StateAnswered(job, entry, sent_at, answer.status, answer.body);
     return answer.status;
   }
 
   auto WaitForOpenJobs() -> void {
-    const TimePoint end = Clock::now() + kCompletesWithin;
+    const TimePoint end = Clock::now() + kCompletionTimeout;
     int entry = 0;
     while (!g_interrupted && Clock::now() < end &&
            !checks_.OpenJobs().empty()) {
       for (const auto& job : checks_.OpenJobs()) {
         entry = (entry + 1) % options_.entries;
-        Ask(entry, job);
+        Query(entry, job);
       }
-      RunFor(kAskEach);
+      RunFor(kQueryInterval);
     }
     for (const auto& job : checks_.AcceptedJobs()) {
-      if (!g_interrupted && KindOf(job) != JobKind::kLasting) {
+      if (!g_interrupted && KindOf(job) != JobKind::kLongRunning) {
         checks_.ExpectOver(job);
       }
     }
   }
 
-  auto AskEveryEntry() -> void {
+  auto QueryEveryEntry() -> void {
     for (int entry = 0; entry < options_.entries; ++entry) {
-      AskForAll(entry);
+      QueryAllJobs(entry);
     }
   }
 
-  // An entry that has once failed to answer in time is waited for no more.
-  auto AskForAll(int entry) -> void {
-    milliseconds patience = kAnswersWithin;
+  // Does not wait any more for an entry that has failed to answer in time once.
+  auto QueryAllJobs(int entry) -> void {
+    milliseconds timeout = kAnswerTimeout;
     unsigned status = 0;
     for (const auto& job : checks_.AcceptedJobs()) {
       if (g_interrupted) {
@@ -153,13 +153,13 @@
       }
       const bool known = test::WaitFor(
           [this, entry, &job, &status]() -> bool {
-            status = Ask(entry, job);
+            status = Query(entry, job);
             return status == 200;
           },
-          patience);
+          timeout);
       checks_.ExpectKnown(job, entry, known);
       if (!known) {
-        patience = milliseconds(0);
+        timeout = milliseconds(0);
       }
       if (status == 0) {
         return;
@@ -169,10 +169,10 @@
 
   SoakOptions options_;
   TimePoint start_;
-  TimePoint next_look_;
-  Calm calm_;
+  TimePoint next_check_;
+  FaultFreePeriod fault_free_;
   Checks checks_;
-  LagMeter lag_;
+  SchedulingLagMeter lag_;
   Processes processes_;
   FaultInjector injector_;
   EntryCaller caller_{processes_.callers_addresses()};
@@ -190,19 +190,19 @@
   return mkdtemp(pattern.data());
 }
 
-auto Judge(const Soak& soak) -> std::pair<int, std::string> {
+auto MakeVerdict(const Soak& soak) -> std::pair<int, std::string> {
   const std::string lag = absl::StrCat(soak.lag().count(), " ms");
-  const bool broken = !soak.checks().broken().empty();
+  const bool violated = !soak.checks().violations().empty();
   if (g_interrupted) {
     return {kInterrupted, "INTERRUPTED, judged as far as it came"};
   }
-  if (soak.lag() > kMostLag) {
+  if (soak.lag() > kMaxLag) {
     return {kLagged, absl::StrCat("LAG: this machine is overloaded, the rig "
                                   "itself was late by ",
                                   lag, "; nothing is shown either way")};
   }
-  return broken ? std::pair(kBrokenPromise, "BROKEN, lag " + lag)
-                : std::pair(kKept, "kept, lag " + lag);
+  return violated ? std::pair(kViolated, "BROKEN, lag " + lag)
+                  : std::pair(kPassed, "kept, lag " + lag);
 }
 
 auto RunSoak(const SoakOptions& options) -> int {
@@ -212,15 +212,15 @@
                    options.entries, " entries, ", options.agents, " agents\n");
   std::cout << title << ScheduleText(schedule) << std::flush;
   if (options.list) {
-    return kKept;
+    return kPassed;
   }
   const std::string folder = MakeFolder(options);
   std::ofstream(folder + "/schedule.txt") << title << ScheduleText(schedule);
-  int code = kKept;
+  int code = kPassed;
   {
     Soak soak(options, schedule, folder);
     soak.Run();
-    const auto [result, verdict] = Judge(soak);
+    const auto [result, verdict] = MakeVerdict(soak);
     code = result;
     const std::string text =
         absl::StrCat(VerdictText(soak.checks(), folder), verdict, "\n");
@@ -228,7 +228,7 @@
     std::ofstream(folder + "/cases.txt") << CasesText(soak.checks());
     std::cout << text;
   }
-  if (code != kKept || !options.keep_logs.empty()) {
+  if (code != kPassed || !options.keep_logs.empty()) {
     std::cout << "logs: " << folder << "\n";
   } else {
     std::filesystem::remove_all(folder);
@@ -242,11 +242,11 @@
   const auto options = ParseOptions(argc, argv);
   if (options.ok() && std::filesystem::exists(options->keep_logs)) {
     std::cerr << "soak: the folder of logs exists already\n";
-    return kWrongUse;
+    return kUsageError;
   }
   if (!options.ok()) {
     std::cerr << "soak: " << options.status().message() << "\n";
-    return kWrongUse;
+    return kUsageError;
   }
   return RunSoak(*options);
 }
--- a/Tests/Soak/soak_options.cc
+++ b/Tests/Soak/soak_options.cc
@@ -8,7 +8,9 @@
 #include <vector>
 
 DEFINE_uint64(seed, 1, "Seed of the schedule of faults and of the load.");
-DEFINE_int32(seconds, 40, "How long load and faults last, at least 20.");
+DEFINE_int32(seconds,
+             40,
+             "Duration of load and faults in seconds, at least 20.");
 DEFINE_string(scale, "3/5", "Number of entries and agents.");
 DEFINE_string(keep_logs, "", "Folder for all logs and the schedule.");
 DEFINE_bool(list, false, "Print the schedule of the seed and exit.");
@@ -25,7 +27,7 @@
 
 auto ParseOptions(int argc, char** argv) -> absl::StatusOr<SoakOptions> {
   gflags::SetUsageMessage(
-      "Runs real daemons under load and faults and checks what they promise.");
+      "Runs real daemons under load and faults and checks their guarantees.");
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   SoakOptions options;
   options.seed = FLAGS_seed;
--- a/Tests/Soak/soak_options.h
+++ b/Tests/Soak/soak_options.h
@@ -11,17 +11,18 @@
 
 struct SoakOptions {
   uint64_t seed = 1;
-  // Of load and faults; the last checks take longer.
+  // Duration of load and faults; the final checks take additional time.
   std::chrono::seconds load{40};
   int entries = 3;
   int agents = 5;
-  // Keeps the folder of logs and schedule, also of a run without fault.
+  // Folder in which logs and schedule are kept, also after a run that passes;
+  // empty to keep them only after a failure.
   std::string keep_logs;
   std::string binary;
   bool list = false;
 };
 
-// Parses the command line; what is wrong with it is an error.
+// Parses the command line; returns an error if it is invalid.
 auto ParseOptions(int argc, char** argv) -> absl::StatusOr<SoakOptions>;
 
 }  // namespace rhubarbhaven::soak
--- a/Tests/StandIns/Endpoint/endpoint_stand_in.cc
+++ b/Tests/StandIns/Endpoint/endpoint_stand_in.cc
@@ -1,8 +1,9 @@
-// Stands in for the service beside an agent. Runs `slots` requests at once,
-// each for the time that the request's query `ms` says, and writes a line for
-// each run, so that a test can count them:
+// Stand-in for the service that runs beside an agent. Runs up to `slots`
+// requests concurrently, each for the milliseconds given in its query `ms`, and
+// writes a line for each run, so that a test can count them:
 //   event=run key=KEY attempt=ATTEMPT
-// POST /faults?slow_ms=N&fail=1 makes it slow or failing.
+// POST /faults?slow_ms=N&fail=1 adds a delay of N ms to each run or makes
+// requests fail.
 
 #include <gflags/gflags.h>
 
@@ -17,7 +18,7 @@
 #include "Transport/transport.h"
 
 DEFINE_int32(port, 0, "Port to listen on; 0 takes any.");
-DEFINE_int32(slots, 8, "Requests run at once.");
+DEFINE_int32(slots, 8, "Requests run concurrently.");
 DEFINE_string(name, "endpoint", "Name given in answers.");
 
 namespace rhubarbhaven {
@@ -44,7 +45,7 @@
       const std::lock_guard lock(mutex_);
       stop_ = true;
     }
-    arrived_.notify_all();
+    work_available_.notify_all();
     for (auto& worker : workers_) {
       worker.join();
     }
@@ -64,17 +65,17 @@
   }
 
  private:
-  static auto Number(const HttpServerRequest& request,
-                     const std::string& name,
-                     int fallback) -> int {
+  static auto QueryNumber(const HttpServerRequest& request,
+                          const std::string& name,
+                          int fallback) -> int {
     const auto found = request.query.find(name);
     return found == request.query.end() ? fallback
                                         : atoi(found->second.c_str());
   }
 
   auto SetFaults(const HttpServerRequest& request) -> void {
-    slow_ms_ = Number(request, "slow_ms", slow_ms_);
-    fail_ = Number(request, "fail", fail_ ? 1 : 0) != 0;
+    slow_ms_ = QueryNumber(request, "slow_ms", slow_ms_);
+    fail_ = QueryNumber(request, "fail", fail_ ? 1 : 0) != 0;
   }
 
   auto Enqueue(Work work) -> bool {
@@ -83,15 +84,15 @@
       return false;
     }
     queue_.push_back(std::move(work));
-    arrived_.notify_one();
+    work_available_.notify_one();
     return true;
   }
 
   auto RunWorker() -> void {
     while (true) {
       std::unique_lock lock(mutex_);
-      arrived_.wait(lock,
-                    [this]() -> bool { return stop_ || !queue_.empty(); });
+      work_available_.wait(
+          lock, [this]() -> bool { return stop_ || !queue_.empty(); });
       if (stop_) {
         return;
       }
@@ -112,13 +113,13 @@
     const std::string attempt = Header(work.request, "rhubarbhaven-attempt-id");
     const std::string key = Header(work.request, "idempotency-key");
     {
-      const std::lock_guard lock(output_);
+      const std::lock_guard lock(output_mutex_);
       std::printf("event=run key=%s attempt=%s path=%s\n", key.c_str(),
                   attempt.c_str(), work.request.path.c_str());
       std::fflush(stdout);
     }
-    std::this_thread::sleep_for(
-        std::chrono::milliseconds(Number(work.request, "ms", 0) + slow_ms_));
+    std::this_thread::sleep_for(std::chrono::milliseconds(
+        QueryNumber(work.request, "ms", 0) + slow_ms_));
     HttpServerAnswer answer;
     answer.headers["Rhubarbhaven-Attempt-Id"] = attempt;
     answer.headers["Content-Type"] = "text/plain";
@@ -129,11 +130,11 @@
   }
 
   std::mutex mutex_;
-  std::condition_variable arrived_;
+  std::condition_variable work_available_;
   std::deque<Work> queue_;
   bool stop_ = false;
   std::vector<std::thread> workers_;
-  std::mutex output_;
+  std::mutex output_mutex_;
   std::atomic<bool> fail_ = false;
   std::atomic<int> slow_ms_ = 0;
 };
--- a/Tests/StandIns/Log/log_stand_in.cc
+++ b/Tests/StandIns/Log/log_stand_in.cc
@@ -16,11 +16,11 @@
 constexpr unsigned kTooManyRequests = 429;
 constexpr unsigned kUnavailable = 503;
 constexpr unsigned kGatewayTimeout = 504;
-constexpr std::chrono::hours kNoTimer{1};
+constexpr std::chrono::hours kMaxTimerWait{1};
 
-auto Number(const HttpServerRequest& request,
-            const std::string& name,
-            uint64_t fallback) -> uint64_t {
+auto QueryNumber(const HttpServerRequest& request,
+                 const std::string& name,
+                 uint64_t fallback) -> uint64_t {
   const auto found = request.query.find(name);
   return found == request.query.end()
              ? fallback
@@ -32,15 +32,15 @@
                   std::chrono::milliseconds fallback)
     -> std::chrono::milliseconds {
   return std::chrono::milliseconds(
-      Number(request, name, static_cast<uint64_t>(fallback.count())));
+      QueryNumber(request, name, static_cast<uint64_t>(fallback.count())));
 }
 
-// NAME of /v1/streams/NAME/records, or nothing.
+// Returns NAME of /v1/streams/NAME/records, empty for any other path.
 auto StreamOf(const std::string& path) -> std::string {
   const std::vector<std::string> parts = absl::StrSplit(path, '/');
-  const bool fits = parts.size() == 5 && parts[1] == "v1" &&
-                    parts[2] == "streams" && parts[4] == "records";
-  return fits ? parts[3] : "";
+  const bool matches = parts.size() == 5 && parts[1] == "v1" &&
+                       parts[2] == "streams" && parts[4] == "records";
+  return matches ? parts[3] : "";
 }
 
 }  // namespace
@@ -128,7 +128,7 @@
   }
   const std::string stream = StreamOf(request.path);
   if (faults_.down) {
-    AnswerLater(faults_.slow, respond, {kUnavailable, {}, "down\n"});
+    RespondAfter(faults_.slow, respond, {kUnavailable, {}, "down\n"});
   } else if (stream.empty()) {
     respond({kNotFound, {}, "no such path\n"});
   } else if (request.method == "POST") {
@@ -143,7 +143,7 @@
                               const HttpResponder& respond) -> void {
   if (faults_.refuse > 0) {
     --faults_.refuse;
-    AnswerLater(faults_.slow, respond, {kTooManyRequests, {}, "refused\n"});
+    RespondAfter(faults_.slow, respond, {kTooManyRequests, {}, "refused\n"});
     return;
   }
   auto& log = streams_[stream];
@@ -151,15 +151,15 @@
   log.appends += 1;
   log.append_bytes += request.body.size();
   const uint64_t offset = log.first + log.items.size() - 1;
-  DropExpired(&log);
-  AnswerReads(stream);
+  RemoveExpired(&log);
+  CompleteReads(stream);
   if (faults_.lose_answers > 0) {
     --faults_.lose_answers;
-    AnswerLater(faults_.hang, respond, {kGatewayTimeout, {}, "lost\n"});
+    RespondAfter(faults_.hang, respond, {kGatewayTimeout, {}, "lost\n"});
     return;
   }
-  AnswerLater(faults_.slow, respond,
-              {200, {}, absl::StrCat("{\"offset\":\"", offset, "\"}")});
+  RespondAfter(faults_.slow, respond,
+               {200, {}, absl::StrCat("{\"offset\":\"", offset, "\"}")});
 }
 
 auto LogStandIn::HandleRead(const std::string& stream,
@@ -167,32 +167,33 @@
                             const HttpResponder& respond) -> void {
   WaitingRead read;
   read.stream = stream;
-  read.from = Number(request, "from", 1);
-  read.limit = Number(request, "limit", 1000);
+  read.from = QueryNumber(request, "from", 1);
+  read.limit = QueryNumber(request, "limit", 1000);
   read.deadline = Clock::now() + Milliseconds(request, "wait_ms",
                                               std::chrono::milliseconds(0));
   read.respond = respond;
   auto& log = streams_[stream];
-  DropExpired(&log);
+  RemoveExpired(&log);
   const bool has_records = read.from < log.first + log.items.size();
   if (has_records || read.deadline <= Clock::now()) {
-    AnswerLater(faults_.slow, respond, Batch(read));
+    RespondAfter(faults_.slow, respond, MakeBatch(read));
     return;
   }
-  reads_.push_back(std::move(read));
+  waiting_reads_.push_back(std::move(read));
   changed_.notify_all();
 }
 
 auto LogStandIn::HandleFaults(const HttpServerRequest& request) -> void {
-  faults_.down = Number(request, "down", faults_.down ? 1 : 0) != 0;
+  faults_.down = QueryNumber(request, "down", faults_.down ? 1 : 0) != 0;
   faults_.slow = Milliseconds(request, "slow_ms", faults_.slow);
   faults_.hang = Milliseconds(request, "hang_ms", faults_.hang);
-  faults_.lose_answers = Number(request, "lose_answers", faults_.lose_answers);
-  faults_.refuse = Number(request, "refuse", faults_.refuse);
+  faults_.lose_answers =
+      QueryNumber(request, "lose_answers", faults_.lose_answers);
+  faults_.refuse = QueryNumber(request, "refuse", faults_.refuse);
   changed_.notify_all();
 }
 
-auto LogStandIn::Batch(const WaitingRead& read) -> HttpServerAnswer {
+auto LogStandIn::MakeBatch(const WaitingRead& read) -> HttpServerAnswer {
   auto& log = streams_[read.stream];
   schema::LogBatch batch;
   const uint64_t next = log.first + log.items.size();
@@ -228,7 +229,7 @@
   return answer;
 }
 
-auto LogStandIn::DropExpired(Stream* stream) -> void {
+auto LogStandIn::RemoveExpired(Stream* stream) -> void {
   const TimePoint oldest = Clock::now() - options_.retention;
   while (!stream->items.empty()) {
     const bool too_many = options_.retention_records > 0 &&
@@ -243,56 +244,57 @@
   }
 }
 
-auto LogStandIn::AnswerLater(std::chrono::milliseconds delay,
-                             const HttpResponder& respond,
-                             HttpServerAnswer answer) -> void {
+auto LogStandIn::RespondAfter(std::chrono::milliseconds delay,
+                              const HttpResponder& respond,
+                              HttpServerAnswer answer) -> void {
   if (delay.count() == 0) {
     respond(std::move(answer));
     return;
   }
-  later_.emplace(
+  delayed_answers_.emplace(
       Clock::now() + delay,
       [respond, answer = std::move(answer)]() -> void { respond(answer); });
   changed_.notify_all();
 }
 
-auto LogStandIn::AnswerReads(const std::string& stream) -> void {
-  for (auto read = reads_.begin(); read != reads_.end();) {
+auto LogStandIn::CompleteReads(const std::string& stream) -> void {
+  for (auto read = waiting_reads_.begin(); read != waiting_reads_.end();) {
     if (read->stream != stream) {
       ++read;
       continue;
     }
-    AnswerLater(faults_.slow, read->respond, Batch(*read));
-    read = reads_.erase(read);
+    RespondAfter(faults_.slow, read->respond, MakeBatch(*read));
+    read = waiting_reads_.erase(read);
   }
 }
 
 auto LogStandIn::RunTimer() -> void {
   std::unique_lock lock(mutex_);
-  while (!stopping_ || !later_.empty() || !reads_.empty()) {
+  while (!stopping_ || !delayed_answers_.empty() || !waiting_reads_.empty()) {
     const TimePoint now = Clock::now();
-    TimePoint wake = now + kNoTimer;
-    for (auto read = reads_.begin(); read != reads_.end();) {
+    TimePoint next_wakeup = now + kMaxTimerWait;
+    for (auto read = waiting_reads_.begin(); read != waiting_reads_.end();) {
       if (faults_.down) {
         read->respond({kUnavailable, {}, "down\n"});
-        read = reads_.erase(read);
+        read = waiting_reads_.erase(read);
       } else if (read->deadline <= now) {
-        read->respond(Batch(*read));
-        read = reads_.erase(read);
+        read->respond(MakeBatch(*read));
+        read = waiting_reads_.erase(read);
       } else {
-        wake = std::min(wake, read->deadline);
+        next_wakeup = std::min(next_wakeup, read->deadline);
         ++read;
       }
     }
-    while (!later_.empty() && (stopping_ || later_.begin()->first <= now)) {
-      later_.begin()->second();
-      later_.erase(later_.begin());
+    while (!delayed_answers_.empty() &&
+           (stopping_ || delayed_answers_.begin()->first <= now)) {
+      delayed_answers_.begin()->second();
+      delayed_answers_.erase(delayed_answers_.begin());
     }
-    if (!later_.empty()) {
-      wake = std::min(wake, later_.begin()->first);
+    if (!delayed_answers_.empty()) {
+      next_wakeup = std::min(next_wakeup, delayed_answers_.begin()->first);
     }
     if (!stopping_) {
-      changed_.wait_until(lock, wake);
+      changed_.wait_until(lock, next_wakeup);
     }
   }
 }
--- a/Tests/StandIns/Log/log_stand_in.h
+++ b/Tests/StandIns/Log/log_stand_in.h
@@ -17,27 +17,29 @@
 
 struct LogStandInOptions {
   uint16_t port = 0;
-  // Records kept of each stream, and for how long; zero means without limit.
+  // Number of records kept of each stream, and how long they are kept; zero for
+  // no limit.
   std::size_t retention_records = 0;
   std::chrono::milliseconds retention{0};
 };
 
-// Faults that can be switched on, also by
+// Faults that can be enabled here or by
 // POST /v1/faults?down=0|1&slow_ms=N&lose_answers=K&refuse=K&hang_ms=N
 struct LogFaults {
-  // Every call is answered 503.
+  // Every call is answered with status 503.
   bool down = false;
-  // Every answer comes this much later.
+  // Delay of every answer.
   std::chrono::milliseconds slow{0};
-  // Appends that take effect and are answered 504, after `hang`.
+  // Number of appends that take effect and are answered with status 504 after
+  // `hang`.
   uint64_t lose_answers = 0;
   std::chrono::milliseconds hang{0};
-  // Appends that are answered 429 and take no effect.
+  // Number of appends that are answered with status 429 and have no effect.
   uint64_t refuse = 0;
 };
 
-// Stands in for the platform's append-only log, in memory; its interface is
-// described at LogClient. GET /v1/stats counts appends and bytes by stream.
+// In-memory stand-in for the platform's append-only log; LogClient documents
+// the interface. GET /v1/stats counts appends and bytes by stream.
 class LogStandIn {
  public:
   explicit LogStandIn(LogStandInOptions options);
@@ -49,9 +51,9 @@
   auto port() const -> uint16_t;
   auto url() const -> std::string;
   auto SetFaults(const LogFaults& faults) -> void;
-  // Drops what lies below the offset, as if it had expired.
+  // Removes the records below the offset as if they had expired.
   auto Expire(const std::string& stream, uint64_t below) -> void;
-  // Appends that took effect.
+  // Number of appends that took effect.
   auto appends(const std::string& stream) -> uint64_t;
   auto records(const std::string& stream) -> std::vector<std::string>;
 
@@ -85,13 +87,13 @@
                   const HttpServerRequest& request,
                   const HttpResponder& respond) -> void;
   auto HandleFaults(const HttpServerRequest& request) -> void;
-  auto Batch(const WaitingRead& read) -> HttpServerAnswer;
+  auto MakeBatch(const WaitingRead& read) -> HttpServerAnswer;
   auto Stats() -> HttpServerAnswer;
-  auto DropExpired(Stream* stream) -> void;
-  auto AnswerLater(std::chrono::milliseconds delay,
-                   const HttpResponder& respond,
-                   HttpServerAnswer answer) -> void;
-  auto AnswerReads(const std::string& stream) -> void;
+  auto RemoveExpired(Stream* stream) -> void;
+  auto RespondAfter(std::chrono::milliseconds delay,
+                    const HttpResponder& respond,
+                    HttpServerAnswer answer) -> void;
+  auto CompleteReads(const std::string& stream) -> void;
   auto RunTimer() -> void;
 
   const LogStandInOptions options_;
@@ -99,8 +101,8 @@
   std::condition_variable changed_;
   LogFaults faults_;
   std::map<std::string, Stream> streams_;
-  std::list<WaitingRead> reads_;
-  std::multimap<TimePoint, std::function<auto()->void>> later_;
+  std::list<WaitingRead> waiting_reads_;
+  std::multimap<TimePoint, std::function<auto()->void>> delayed_answers_;
   bool stopping_ = false;
   std::thread timer_;
   std::optional<HttpServer> server_;
--- a/Tests/StandIns/Log/log_stand_in_main.cc
+++ b/Tests/StandIns/Log/log_stand_in_main.cc
@@ -1,5 +1,5 @@
-// Stands in for the platform's append-only log, see LogStandIn. Prints
-// event=listening port=N once it serves, and ends on SIGTERM or SIGINT.
+// Stand-in for the platform's append-only log, see LogStandIn. Prints
+// event=listening port=N once it serves, and exits on SIGTERM or SIGINT.
 
 #include <gflags/gflags.h>
 
@@ -8,7 +8,7 @@
 
 DEFINE_int32(port, 0, "Port to listen on; 0 takes any.");
 DEFINE_uint64(retention_records, 0, "Records kept of each stream; 0 for all.");
-DEFINE_uint64(retention_ms, 0, "How long records are kept; 0 for ever.");
+DEFINE_uint64(retention_ms, 0, "How long records are kept; 0 for no limit.");
 
 auto main(int argc, char** argv) -> int {
   gflags::ParseCommandLineFlags(&argc, &argv, true);
--- a/Tests/StandIns/Worker/worker_model.cc
+++ b/Tests/StandIns/Worker/worker_model.cc
@@ -11,9 +11,9 @@
 
 constexpr milliseconds kSampleInterval{1000};
 constexpr std::size_t kSamplesKept = 120;
-constexpr uint32_t kWhole = 1000;
+constexpr uint32_t kPermille = 1000;
 
-auto Refuse(const std::string& problem) -> schema::WorkerReply {
+auto RejectCommand(const std::string& problem) -> schema::WorkerReply {
   schema::WorkerReply reply;
   reply.set_problem(problem);
   return reply;
@@ -22,14 +22,14 @@
 }  // namespace
 
 auto WorkerModel::Task::running() const -> bool {
-  return seen.state() == schema::WORKER_TASK_RUNNING ||
-         seen.state() == schema::WORKER_TASK_THROTTLED;
+  return reported.state() == schema::WORKER_TASK_RUNNING ||
+         reported.state() == schema::WORKER_TASK_THROTTLED;
 }
 
 auto WorkerModel::Task::finish_at() const -> TimePoint {
   const milliseconds left = work - done;
   return updated +
-         (seen.state() == schema::WORKER_TASK_THROTTLED ? 2 * left : left);
+         (reported.state() == schema::WORKER_TASK_THROTTLED ? 2 * left : left);
 }
 
 WorkerModel::WorkerModel(WorkerModelOptions options)
@@ -40,19 +40,19 @@
   return static_cast<uint64_t>(since.count()) + 1;
 }
 
-auto WorkerModel::Progress(Task* task, TimePoint now) -> void {
+auto WorkerModel::UpdateProgress(Task* task, TimePoint now) -> void {
   if (!task->running() || now <= task->updated) {
     return;
   }
   auto passed = std::chrono::floor<milliseconds>(now - task->updated);
   task->updated += passed;
-  if (task->seen.state() == schema::WORKER_TASK_THROTTLED) {
+  if (task->reported.state() == schema::WORKER_TASK_THROTTLED) {
     passed /= 2;
   }
   task->done = std::min(task->work, task->done + passed);
   if (task->work.count() > 0) {
-    task->seen.set_progress_permille(
-        static_cast<uint32_t>(kWhole * task->done / task->work));
+    task->reported.set_progress_permille(
+        static_cast<uint32_t>(kPermille * task->done / task->work));
   }
 }
 
@@ -60,11 +60,12 @@
                       schema::WorkerTaskState state,
                       const std::string& event,
                       TimePoint at) -> void {
-  Progress(task, at);
-  task->seen.set_state(state);
-  task->seen.clear_used();
+  UpdateProgress(task, at);
+  task->reported.set_state(state);
+  task->reported.clear_used();
   if (options_.on_event) {
-    options_.on_event(event, task->seen.name(), task->seen.attempt(), at);
+    options_.on_event(event, task->reported.name(), task->reported.attempt(),
+                      at);
   }
 }
 
@@ -75,15 +76,15 @@
     }
     const TimePoint finish = task.finish_at();
     if (task.lease_end <= now && task.lease_end < finish) {
-      task.seen.set_detail("lease ran out");
+      task.reported.set_detail("lease ran out");
       End(&task, schema::WORKER_TASK_STOPPED, "stop", task.lease_end);
     } else if (finish <= now && task.fails) {
-      task.seen.set_detail("the command failed");
+      task.reported.set_detail("the command failed");
       End(&task, schema::WORKER_TASK_FAILED, "fail", finish);
     } else if (finish <= now) {
       End(&task, schema::WORKER_TASK_FINISHED, "finish", finish);
     } else {
-      Progress(&task, now);
+      UpdateProgress(&task, now);
     }
   }
   TakeSample(now);
@@ -103,7 +104,7 @@
   const auto known = tasks_.find(start.name());
   if (known != tasks_.end()) {
     reply.set_ok(true);
-    *reply.mutable_task() = known->second.seen;
+    *reply.mutable_task() = known->second.reported;
     return reply;
   }
   if (Expired(now, start.incarnation(), start.not_after_ms())) {
@@ -112,21 +113,21 @@
     return reply;
   }
   Task task;
-  task.seen.set_name(start.name());
-  task.seen.set_attempt(start.attempt());
-  task.seen.set_checkpoint(start.checkpoint());
-  task.seen.set_state(schema::WORKER_TASK_RUNNING);
+  task.reported.set_name(start.name());
+  task.reported.set_attempt(start.attempt());
+  task.reported.set_checkpoint(start.checkpoint());
+  task.reported.set_state(schema::WORKER_TASK_RUNNING);
   task.need = start.need();
   task.used = start.need();
   task.work = options_.run;
   long run_ms = 0;
   unsigned use = 0;
-  const int read =
+  const int parsed =
       std::sscanf(start.command().c_str(), "run %ld use %u", &run_ms, &use);
-  if (read >= 1) {
+  if (parsed >= 1) {
     task.work = milliseconds(run_ms);
   }
-  if (read >= 2) {
+  if (parsed >= 2) {
     task.used.set_millicores(use);
   }
   long done_ms = 0;
@@ -139,14 +140,14 @@
   }
   task.updated = now;
   task.lease_end = now + milliseconds(start.lease_ms());
-  *task.seen.mutable_used() = task.used;
+  *task.reported.mutable_used() = task.used;
   Task& added = tasks_[start.name()] = std::move(task);
   if (options_.on_event) {
     options_.on_event("start", start.name(), start.attempt(), now);
   }
   Advance(now);
   reply.set_ok(true);
-  *reply.mutable_task() = added.seen;
+  *reply.mutable_task() = added.reported;
   return reply;
 }
 
@@ -179,7 +180,7 @@
   if (verb == "forget") {
     schema::WorkerReply reply;
     if (found != tasks_.end() && found->second.running()) {
-      return Refuse("the task runs");
+      return RejectCommand("the task runs");
     }
     if (found != tasks_.end()) {
       tasks_.erase(found);
@@ -188,25 +189,25 @@
     return reply;
   }
   if (found == tasks_.end()) {
-    return Refuse("no such task");
+    return RejectCommand("no such task");
   }
   Task& task = found->second;
   if (task.running()) {
     if (verb == "checkpoint") {
-      task.seen.set_checkpoint("done=" + std::to_string(task.done.count()));
+      task.reported.set_checkpoint("done=" + std::to_string(task.done.count()));
     } else if (verb == "throttle") {
-      task.seen.set_state(schema::WORKER_TASK_THROTTLED);
+      task.reported.set_state(schema::WORKER_TASK_THROTTLED);
     } else if (verb == "unthrottle") {
-      task.seen.set_state(schema::WORKER_TASK_RUNNING);
+      task.reported.set_state(schema::WORKER_TASK_RUNNING);
     } else if (verb == "stop") {
       End(&task, schema::WORKER_TASK_STOPPED, "stop", now);
     } else {
-      return Refuse("no such command: " + verb);
+      return RejectCommand("no such command: " + verb);
     }
   }
   schema::WorkerReply reply;
   reply.set_ok(true);
-  *reply.mutable_task() = task.seen;
+  *reply.mutable_task() = task.reported;
   return reply;
 }
 
@@ -217,20 +218,20 @@
   *status.mutable_capacity() = options_.capacity;
   status.set_clock_ms(Clock(now));
   for (const auto& [name, task] : tasks_) {
-    schema::WorkerTask* seen = status.add_tasks();
-    *seen = task.seen;
+    schema::WorkerTask* reported = status.add_tasks();
+    *reported = task.reported;
     if (task.running()) {
-      seen->set_lease_left_ms(static_cast<uint32_t>(
+      reported->set_lease_left_ms(static_cast<uint32_t>(
           std::chrono::floor<milliseconds>(task.lease_end - now).count()));
     }
   }
-  const auto late = std::find_if(samples_.rbegin(), samples_.rend(),
-                                 [&](const Sample& sample) -> bool {
-                                   return now - sample.at >= options_.usage_lag;
-                                 });
-  if (late != samples_.rend()) {
-    const auto age = std::chrono::floor<milliseconds>(now - late->at);
-    for (schema::WorkerUsage usage : late->status.usage()) {
+  const auto visible = std::find_if(
+      samples_.rbegin(), samples_.rend(), [&](const Sample& sample) -> bool {
+        return now - sample.at >= options_.usage_lag;
+      });
+  if (visible != samples_.rend()) {
+    const auto age = std::chrono::floor<milliseconds>(now - visible->at);
+    for (schema::WorkerUsage usage : visible->status.usage()) {
       usage.set_age_ms(static_cast<uint32_t>(age.count()));
       *status.add_usage() = std::move(usage);
     }
@@ -252,8 +253,8 @@
     usage->set_name(name);
     *usage->mutable_used() = task.used;
     usage->set_service_p99_us(service_p99_us_);
-    for (const auto& [other, beside] : tasks_) {
-      if (other != name && beside.running()) {
+    for (const auto& [other, neighbour] : tasks_) {
+      if (other != name && neighbour.running()) {
         usage->add_beside(other);
       }
     }
--- a/Tests/StandIns/Worker/worker_model.h
+++ b/Tests/StandIns/Worker/worker_model.h
@@ -16,8 +16,8 @@
   schema::Resources capacity;
   std::chrono::milliseconds run{3000};
   std::chrono::milliseconds usage_lag{1000};
-  // Runs at each start, stop (also by a lease that ran out), finish and
-  // failure, with the point at which it happened.
+  // Called at each start, stop (also by an expired lease), finish and failure,
+  // with the time at which it happened.
   std::function<auto(const std::string& event,
                      const std::string& name,
                      uint32_t attempt,
@@ -26,8 +26,9 @@
       on_event;
 };
 
-// The platform's worker: runs tasks under leases on its own clock. Pure; the
-// stand-in program and the explorer of event orders share it.
+// Model of the platform's worker, which runs tasks under leases on its own
+// clock. It does no I/O and does not read the system clock; the stand-in
+// program and the explorer of event orders share it.
 //
 // Commands: "run MS", "run MS use MILLICORES", "fail"; anything else runs for
 // the default time. A throttled task runs at half speed. A checkpoint is
@@ -36,7 +37,7 @@
  public:
   explicit WorkerModel(WorkerModelOptions options);
 
-  // Finishes tasks and ends leases that are due, in the order of their time.
+  // Finishes each task or expires its lease, whichever is due first by `now`.
   auto Advance(TimePoint now) -> void;
   auto Start(TimePoint now, const schema::WorkerStart& start)
       -> schema::WorkerReply;
@@ -48,16 +49,16 @@
                const schema::WorkerCommand& command) -> schema::WorkerReply;
   auto Status(TimePoint now) -> schema::WorkerStatus;
 
-  // Every start fails at once.
+  // Makes every task fail as soon as it starts.
   auto set_fail_all(bool fail) -> void { fail_all_ = fail; }
   auto set_service_p99_us(uint32_t p99) -> void { service_p99_us_ = p99; }
-  // Sum of the needs of what runs.
+  // Sum of the resources that the running tasks need.
   auto running_need() const -> schema::Resources;
   auto IsRunning(const std::string& name) const -> bool;
 
  private:
   struct Task {
-    schema::WorkerTask seen;
+    schema::WorkerTask reported;
     schema::Resources need;
     schema::Resources used;
     std::chrono::milliseconds work{0};
@@ -74,7 +75,7 @@
     schema::WorkerStatus status;
   };
 
-  auto Progress(Task* task, TimePoint now) -> void;
+  auto UpdateProgress(Task* task, TimePoint now) -> void;
   auto End(Task* task,
            schema::WorkerTaskState state,
            const std::string& event,
--- a/Tests/StandIns/Worker/worker_stand_in.cc
+++ b/Tests/StandIns/Worker/worker_stand_in.cc
@@ -1,15 +1,16 @@
-// Stands in for the platform's worker: speaks Source/Schema/worker.proto as
-// JSON over HTTP, runs tasks in name only, and writes a line for each start,
-// stop, finish and failure, so that a test can check that no task runs twice:
+// Stand-in for the platform's worker. It implements Source/Schema/worker.proto
+// as JSON over HTTP, simulates the runs of tasks, and writes a line for each
+// start, stop, finish and failure, so that a test can check that no task runs
+// twice:
 //   event=start name=NAME attempt=N at_ms=MS
 // `at_ms` is the machine's monotonic clock, so that the lines of all stand-ins
 // of one machine can be compared.
 //
 // POST /v1/faults?lose=N&slow_ms=N&fail=0|1&p99_us=N
 //   lose     the next N answers are lost after the action took effect
-//   slow_ms  each answer comes so much later than its action
+//   slow_ms  delay between each action and its answer
 //   fail     every task fails as soon as it is started
-//   p99_us   tail latency of the endpoint beside, as usage reports give it
+//   p99_us   tail latency of the endpoint on the same instance in usage reports
 
 #include <gflags/gflags.h>
 #include <google/protobuf/util/json_util.h>
@@ -29,8 +30,10 @@
 DEFINE_uint32(millicores, 16000, "Processors of the worker.");
 DEFINE_uint64(memory_mb, 60000, "Memory of the worker.");
 DEFINE_uint32(accelerators, 0, "Accelerators of the worker.");
-DEFINE_int32(run_ms, 3000, "How long a task runs whose command is not known.");
-DEFINE_int32(usage_lag_ms, 1000, "How late usage is reported.");
+DEFINE_int32(run_ms,
+             3000,
+             "Run time in ms of a task whose command is unknown.");
+DEFINE_int32(usage_lag_ms, 1000, "Delay in ms with which usage is reported.");
 
 namespace rhubarbhaven {
 namespace {
@@ -76,9 +79,9 @@
       respond({200, {}, "{}\n"});
       return;
     }
-    HttpServerAnswer answer = Act(request);
-    if (lose_ > 0) {
-      --lose_;
+    HttpServerAnswer answer = Execute(request);
+    if (answers_to_lose_ > 0) {
+      --answers_to_lose_;
       answer = {504, {}, ""};
     }
     delayed_.emplace(Clock::now() + slow_, std::make_pair(respond, answer));
@@ -86,20 +89,20 @@
   }
 
  private:
-  static auto Number(const HttpServerRequest& request,
-                     const std::string& name,
-                     long fallback) -> long {
+  static auto QueryNumber(const HttpServerRequest& request,
+                          const std::string& name,
+                          long fallback) -> long {
     const auto found = request.query.find(name);
     return found == request.query.end() ? fallback
                                         : atol(found->second.c_str());
   }
 
   auto SetFaults(const HttpServerRequest& request) -> void {
-    lose_ = Number(request, "lose", lose_);
-    slow_ =
-        std::chrono::milliseconds(Number(request, "slow_ms", slow_.count()));
-    fail_ = Number(request, "fail", fail_ ? 1 : 0) != 0;
-    p99_us_ = Number(request, "p99_us", p99_us_);
+    answers_to_lose_ = QueryNumber(request, "lose", answers_to_lose_);
+    slow_ = std::chrono::milliseconds(
+        QueryNumber(request, "slow_ms", slow_.count()));
+    fail_ = QueryNumber(request, "fail", fail_ ? 1 : 0) != 0;
+    p99_us_ = QueryNumber(request, "p99_us", p99_us_);
     model_.set_fail_all(fail_);
     model_.set_service_p99_us(static_cast<uint32_t>(p99_us_));
   }
@@ -119,7 +122,7 @@
         .ok();
   }
 
-  auto Act(const HttpServerRequest& request) -> HttpServerAnswer {
+  auto Execute(const HttpServerRequest& request) -> HttpServerAnswer {
     const std::string prefix = "/v1/tasks/";
     const TimePoint now = Clock::now();
     if (request.path == "/v1/status") {
@@ -141,7 +144,7 @@
     if (Parse(request, &command)) {
       return Json(model_.Command(now, verb, command));
     }
-    return {400, {}, "the body is not the JSON of the call's message\n"};
+    return {400, {}, "the body is not a JSON encoding of the call's message\n"};
   }
 
   auto SendDue() -> void {
@@ -165,7 +168,7 @@
 
   std::mutex mutex_;
   WorkerModel model_;
-  long lose_ = 0;
+  long answers_to_lose_ = 0;
   std::chrono::milliseconds slow_{0};
   bool fail_ = false;
   long p99_us_ = 0;
--- a/Tests/StandIns/stand_in_process.h
+++ b/Tests/StandIns/stand_in_process.h
@@ -15,14 +15,15 @@
   return signals;
 }
 
-// Call before any thread starts, so that only ServeUntilStopped takes them.
+// To be called before any thread starts, so that only ServeUntilStopped
+// receives these signals.
 inline auto BlockStopSignals() -> void {
   const sigset_t signals = StopSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
 }
 
 // Starts the server, prints event=listening port=N, and waits for SIGTERM or
-// SIGINT. The exit code: 1 if it cannot listen.
+// SIGINT. Returns the exit code: 1 if the server cannot listen, otherwise 0.
 template <typename Server>
 auto ServeUntilStopped(const char* name, Server& server) -> int {
   const auto status = server.Start();
--- a/Tests/Support/child_process.cc
+++ b/Tests/Support/child_process.cc
@@ -17,7 +17,7 @@
 constexpr int kExecFailed = 127;
 
 auto RunCommand(const std::vector<std::string>& command, int output) -> void {
-  // The processes of a test that dies go with it.
+  // The kernel kills this process if the test that started it dies.
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   dup2(output, STDOUT_FILENO);
   dup2(output, STDERR_FILENO);
@@ -57,16 +57,16 @@
 }
 
 auto ChildProcess::Kill() -> void {
-  constexpr std::chrono::seconds kEnough{10};
+  constexpr std::chrono::seconds kKillTimeout{10};
   Signal(SIGKILL);
-  WaitExit(kEnough);
+  WaitExit(kKillTimeout);
 }
 
 auto ChildProcess::Freeze() -> void {
   Signal(SIGSTOP);
 }
 
-auto ChildProcess::Wake() -> void {
+auto ChildProcess::Resume() -> void {
   Signal(SIGCONT);
 }
 
--- a/Tests/Support/child_process.h
+++ b/Tests/Support/child_process.h
@@ -10,7 +10,8 @@
 
 namespace rhubarbhaven::test {
 
-// A process under test, with its output in a file. Killed by id at the end.
+// A child process under test whose stdout and stderr are appended to a file.
+// The destructor kills it by process id.
 class ChildProcess {
  public:
   ChildProcess(const std::vector<std::string>& command,
@@ -20,11 +21,12 @@
   ~ChildProcess();
 
   auto Signal(int signal) -> void;
-  // SIGKILL, and waits for the end.
+  // Sends SIGKILL and waits until the process has exited.
   auto Kill() -> void;
   auto Freeze() -> void;
-  auto Wake() -> void;
-  // The exit code; 128 + N for signal N; empty if it still runs at the limit.
+  auto Resume() -> void;
+  // Returns the exit code, or 128 + N if signal N ended the process; nullopt if
+  // it is still running after `limit`.
   auto WaitExit(std::chrono::milliseconds limit) -> std::optional<int>;
   auto Output() const -> std::string;
   auto pid() const -> pid_t { return pid_; }
@@ -35,7 +37,8 @@
   std::string output_path_;
 };
 
-// Waits for an event, generously: true as soon as `done` says so.
+// Polls `done` every 20 ms. Returns true as soon as it holds, false once
+// `limit` has passed.
 template <typename Done>
 auto WaitFor(Done done, std::chrono::milliseconds limit) -> bool;
 
--- a/Tests/Support/deployment.cc
+++ b/Tests/Support/deployment.cc
@@ -193,7 +193,7 @@
     Start(Name("agent", i));
   }
   const bool applied =
-      WaitFor([this]() -> bool { return Apply({}) == 0; }, kPatience);
+      WaitFor([this]() -> bool { return Apply({}) == 0; }, kTestTimeout);
   bool ready = applied;
   for (int i = 0; i < options_.entries; ++i) {
     ready = ready && WaitReady(i, options_.agents);
@@ -206,12 +206,12 @@
       [this, entry, agents]() -> bool {
         return EndpointsInState(entry, "ready") == agents;
       },
-      kPatience);
+      kTestTimeout);
   if (!ready) {
-    // Tells an entry that misses an agent from one that does not answer.
-    std::cerr << Name("entry", entry)
-              << " is not ready, it says: " << Status(entry).ShortDebugString()
-              << std::endl;
+    // The status distinguishes an entry that lacks an agent from one that does
+    // not answer.
+    std::cerr << Name("entry", entry) << " did not become ready; its status: "
+              << Status(entry).ShortDebugString() << std::endl;
   }
   return ready;
 }
@@ -251,7 +251,7 @@
   }
   ChildProcess client(arguments,
                       PathOf(absl::StrCat("client-", ++runs, ".out")));
-  const auto code = client.WaitExit(kPatience);
+  const auto code = client.WaitExit(kTestTimeout);
   if (output != nullptr) {
     *output += client.Output();
   }
@@ -261,7 +261,7 @@
 auto Deployment::Call(int entry, HttpClientRequest request)
     -> HttpClientAnswer {
   request.url = Url(Name("entry", entry)) + request.url;
-  request.timeout = kPatience;
+  request.timeout = kTestTimeout;
   HttpClient http;
   return http.Call(request);
 }
@@ -330,7 +330,7 @@
   return count;
 }
 
-auto Deployment::RunsOf(const std::string& key) -> int {
+auto Deployment::CountRuns(const std::string& key) -> int {
   int count = 0;
   for (int i = 0; i < options_.agents; ++i) {
     const std::string output = process(Name("endpoint", i)).Output();
--- a/Tests/Support/deployment.h
+++ b/Tests/Support/deployment.h
@@ -13,7 +13,7 @@
 
 namespace rhubarbhaven::test {
 
-inline constexpr std::chrono::seconds kPatience{60};
+inline constexpr std::chrono::seconds kTestTimeout{60};
 
 struct DeploymentOptions {
   int entries = 2;
@@ -22,12 +22,12 @@
   int endpoint_slots = 8;
   int retention_records = 100000;
   std::vector<std::string> worker_flags = {};
-  // Changes to a process's settings before it starts.
+  // Called with the settings of each daemon before any is started.
   std::function<auto(schema::DaemonSettings&)->void> adjust = {};
 };
 
-// The processes of a small deployment with stand-ins for the platform, on
-// loopback ports of its own, in a folder of its own.
+// The processes of a small deployment with stand-ins for the platform. Each
+// deployment has its own loopback ports and its own temporary folder.
 class Deployment {
  public:
   explicit Deployment(DeploymentOptions options);
@@ -35,18 +35,19 @@
   auto operator=(const Deployment&) -> Deployment& = delete;
   ~Deployment();
 
-  // Starts everything, applies the usual register, waits until every entry
-  // sees every agent.
+  // Starts every process, applies a register without jobs and waits until each
+  // entry reports every agent's endpoint as ready.
   auto StartAll() -> bool;
   auto Start(const std::string& name) -> void;
   // Names: "log", "entry-0", "agent-0", "endpoint-0", "worker-0".
   auto process(const std::string& name) -> ChildProcess&;
-  // A register of partner "rufisque" with one service and every instance, and
-  // these jobs (JSON objects).
+  // Applies a register of partner "rufisque" with one service, every instance
+  // and `jobs` (JSON objects). Returns the exit code of the client.
   auto Apply(const std::vector<std::string>& jobs,
              const std::vector<std::string>& flags = {},
              std::string* output = nullptr) -> int;
-  // Runs the operators' client; its output is appended to `output`.
+  // Runs the operators' client and returns its exit code, -1 on a time-out.
+  // Appends its output to `output`.
   auto Client(std::vector<std::string> arguments, std::string* output = nullptr)
       -> int;
 
@@ -54,18 +55,18 @@
   auto Get(int entry, const std::string& path) -> HttpClientAnswer;
   auto Post(int entry, const std::string& path, const std::string& key)
       -> HttpClientAnswer;
-  // Of an HTTP side: "entry-0" or "agent-0" or "log".
+  // Base URL of a process that serves HTTP, such as "entry-0" or "log".
   auto Url(const std::string& name) const -> std::string;
-  // A sample of the metrics page; zero if absent.
+  // Value of a sample on the metrics page; zero if absent.
   auto Metric(const std::string& name, const std::string& metric) -> double;
   auto Status(int entry) -> schema::OperatorStatus;
   auto Tasks() -> std::vector<schema::TaskStatus>;
-  // Agents in this state, as an entry sees them.
+  // Number of endpoints that the entry reports in this state.
   auto EndpointsInState(int entry, const std::string& state) -> int;
   auto WaitReady(int entry, int agents) -> bool;
-  // Runs of requests with this key, over all endpoints.
-  auto RunsOf(const std::string& key) -> int;
-  // Lines "event=..." of all workers, in each worker's order.
+  // Number of times that requests with this key have run, over all endpoints.
+  auto CountRuns(const std::string& key) -> int;
+  // Lines "event=..." of all workers, in the order of each worker's output.
   auto WorkerEvents() -> std::string;
   auto PostFault(const std::string& name, const std::string& query) -> bool;
 
--- a/Tests/Support/free_port.cc
+++ b/Tests/Support/free_port.cc
@@ -28,44 +28,46 @@
   return bound;
 }
 
-// Ports in a row that belong to this process until it ends.
+// A range of consecutive ports that is reserved for this process until it
+// exits.
 class PortBlock {
  public:
   auto Next() -> int {
-    while (left_ == 0 || !IsFree(port_)) {
-      if (left_ == 0 && !Lock()) {
+    while (remaining_ == 0 || !IsFree(port_)) {
+      if (remaining_ == 0 && !LockBlock()) {
         return 0;
       }
       if (!IsFree(port_)) {
-        Skip();
+        Advance();
       }
     }
     const int port = port_;
-    Skip();
+    Advance();
     return port;
   }
 
  private:
-  auto Skip() -> void {
+  auto Advance() -> void {
     ++port_;
-    --left_;
+    --remaining_;
   }
 
-  // Takes a block that no process holds. The lock goes with the process: its
-  // descriptor is never closed, and children that are executed don't have it.
-  auto Lock() -> bool {
+  // Locks a block that no other process has locked. The kernel releases the
+  // lock when this process exits: the descriptor is never closed, and executed
+  // children do not inherit it.
+  auto LockBlock() -> bool {
     const auto folder =
         std::filesystem::temp_directory_path() / "rhubarbhaven-test-ports";
     std::error_code exists;
     std::filesystem::create_directory(folder, exists);
-    for (int tried = 0; tried < kBlocks; ++tried) {
-      const int block = (getpid() + tried) % kBlocks;
+    for (int attempt = 0; attempt < kBlocks; ++attempt) {
+      const int block = (getpid() + attempt) % kBlocks;
       const std::string path = folder / absl::StrCat(block);
       constexpr mode_t kMode = 0666;
       const int file = open(path.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, kMode);
       if (file >= 0 && flock(file, LOCK_EX | LOCK_NB) == 0) {
         port_ = kFirstPort + block * kPortsPerBlock;
-        left_ = kPortsPerBlock;
+        remaining_ = kPortsPerBlock;
         return true;
       }
       close(file);
@@ -74,7 +76,7 @@
   }
 
   int port_ = 0;
-  int left_ = 0;
+  int remaining_ = 0;
 };
 
 }  // namespace
--- a/Tests/Support/free_port.h
+++ b/Tests/Support/free_port.h
@@ -3,10 +3,9 @@
 
 namespace rhubarbhaven::test {
 
-// A free loopback port below the range that the kernel hands out. No other
-// process is given the same one while this process lives, so that a server
-// which is killed finds its port free when it starts again. Zero if all ports
-// are taken.
+// Returns a free loopback port below the kernel's ephemeral range, or zero if
+// all ports are in use. No other process is given the same port while this
+// process lives, so that a server which is killed can bind to its port again.
 auto FreePort() -> int;
 
 }  // namespace rhubarbhaven::test
--- a/Tests/Support/platform_settings.h
+++ b/Tests/Support/platform_settings.h
@@ -7,16 +7,16 @@
 
 auto LoopbackAddress(int port) -> std::string;
 
-// Addresses of one entry on the platform.
-struct EntryPlace {
+// Id and addresses of an entry on the platform.
+struct EntryAddresses {
   std::string id;
   std::string callers_address;
   std::string ready_address;
   std::string log_address;
 };
 
-// Addresses of one agent on the platform.
-struct AgentPlace {
+// Id and addresses of an agent on the platform.
+struct AgentAddresses {
   std::string id;
   std::string heartbeat_address;
   std::string worker_address;
@@ -24,9 +24,9 @@
   std::string log_address;
 };
 
-// The text of a settings file of `rhubarbhavend`.
-auto SettingsOf(const EntryPlace& place) -> std::string;
-auto SettingsOf(const AgentPlace& place) -> std::string;
+// Returns the text of a settings file of `rhubarbhavend`.
+auto RenderSettings(const EntryAddresses& addresses) -> std::string;
+auto RenderSettings(const AgentAddresses& addresses) -> std::string;
 
 }  // namespace rhubarbhaven::test
 
