--- a/Tests/Jobs/agent_registration_test.cc
+++ b/Tests/Jobs/agent_registration_test.cc
@@ -1,4 +1,4 @@
-// When an agent writes its entry into the log, and what it says.
+// Tests of when an agent writes its entry into the log, and of its contents.
 
 #include <gtest/gtest.h>
 
@@ -14,7 +14,7 @@
 using std::chrono::seconds;
 
 const TimePoint kStart{seconds(100)};
-constexpr char kLife[] = "life-1";
+constexpr char kWorkerId[] = "life-1";
 
 class AgentRegistrationTest : public testing::Test {
  protected:
@@ -28,10 +28,10 @@
     return options;
   }
 
-  // The entry that is written now, if any; the log takes it.
-  auto Write(TimePoint now, const RegistrationState& situation)
+  // Returns the entry that is written now, if any; the log accepts it.
+  auto Write(TimePoint now, const RegistrationState& state)
       -> std::optional<AgentEntry> {
-    if (!registration_.RegisterIfDue(now, situation)) {
+    if (!registration_.RegisterIfDue(now, state)) {
       return std::nullopt;
     }
     const auto call = registration_.Next(now);
@@ -47,32 +47,32 @@
 
 struct DueCase {
   std::string name;
-  // Since the first entry, and since the owner's latest orders.
-  milliseconds registered{0};
-  std::optional<milliseconds> ordered;
-  std::string left;
+  // Time since the first entry, and since the owner's latest orders.
+  milliseconds since_registration{0};
+  std::optional<milliseconds> since_orders;
+  std::string left_worker;
   bool due = false;
 };
 
 class DueTest : public AgentRegistrationTest,
                 public testing::WithParamInterface<DueCase> {};
 
-TEST_P(DueTest, WritesWhenTheOwnerMayNotKnow) {
+TEST_P(DueTest, WritesWhenTheOwnerMayNotKnowTheAgent) {
   const auto first = Write(kStart, {});
   ASSERT_TRUE(first.has_value());
   EXPECT_EQ(first->link_endpoint(), "tcp://there");
   EXPECT_EQ(first->incarnation(), 7U);
   EXPECT_EQ(first->left_worker_id(), "");
-  const TimePoint now = kStart + GetParam().registered;
-  RegistrationState situation;
-  situation.left_worker_id = GetParam().left;
-  if (GetParam().ordered) {
-    situation.ordered_at = now - *GetParam().ordered;
+  const TimePoint now = kStart + GetParam().since_registration;
+  RegistrationState state;
+  state.left_worker_id = GetParam().left_worker;
+  if (GetParam().since_orders) {
+    state.ordered_at = now - *GetParam().since_orders;
   }
-  const auto entry = Write(now, situation);
+  const auto entry = Write(now, state);
   ASSERT_EQ(entry.has_value(), GetParam().due);
   if (entry) {
-    EXPECT_EQ(entry->left_worker_id(), GetParam().left);
+    EXPECT_EQ(entry->left_worker_id(), GetParam().left_worker);
   }
 }
 
@@ -84,35 +84,35 @@
         DueCase{"never_got_orders", seconds(3), std::nullopt, "", true},
         DueCase{"has_just_registered", seconds(2), std::nullopt, "", false},
         DueCase{"gets_no_more_orders", seconds(60), seconds(4), "", true},
-        DueCase{"its_worker_has_left", milliseconds(1), milliseconds(1), kLife,
-                true}),
+        DueCase{"its_worker_has_left", milliseconds(1), milliseconds(1),
+                kWorkerId, true}),
     [](const auto& info) { return info.param.name; });
 
-TEST_F(AgentRegistrationTest, SaysOnceThatALifeHasLeft) {
+TEST_F(AgentRegistrationTest, RecordsOnceThatAWorkerProcessHasLeft) {
   Write(kStart, {});
-  const RegistrationState left{kStart, kLife};
-  EXPECT_TRUE(Write(kStart, left).has_value());
-  EXPECT_FALSE(Write(kStart, left).has_value());
+  const RegistrationState left_worker{kStart, kWorkerId};
+  EXPECT_TRUE(Write(kStart, left_worker).has_value());
+  EXPECT_FALSE(Write(kStart, left_worker).has_value());
   EXPECT_TRUE(Write(kStart, {kStart, "life-2"}).has_value());
 }
 
-// Symptom: as of a worker that left without a word. Sequence: the worker leaves
-// while the log is away. Why not here: the word is kept, and written behind the
-// entry that is under way.
-TEST_F(AgentRegistrationTest, WordOfALifeThatLeftOutlivesAnOutage) {
+// Guards against a worker that leaves while the log is unavailable and so is
+// not recorded as having left. The record is kept, and written after the entry
+// that is in flight.
+TEST_F(AgentRegistrationTest, RecordThatAWorkerHasLeftSurvivesAnOutage) {
   ASSERT_TRUE(registration_.RegisterIfDue(kStart, {}));
   TimePoint now = kStart;
   ASSERT_TRUE(registration_.Next(now).has_value());
-  const RegistrationState left{kStart, kLife};
-  EXPECT_FALSE(registration_.RegisterIfDue(now, left));
-  registration_.OnResult(now, {AppendOutcome::kRefused, 0});
+  const RegistrationState left_worker{kStart, kWorkerId};
+  EXPECT_FALSE(registration_.RegisterIfDue(now, left_worker));
+  registration_.OnResult(now, {AppendOutcome::kRejected, 0});
   now += seconds(5);
-  EXPECT_FALSE(registration_.RegisterIfDue(now, left));
+  EXPECT_FALSE(registration_.RegisterIfDue(now, left_worker));
   ASSERT_TRUE(registration_.Next(now).has_value());
   registration_.OnResult(now, {AppendOutcome::kAppended, 0});
-  const auto entry = Write(now, left);
+  const auto entry = Write(now, left_worker);
   ASSERT_TRUE(entry.has_value());
-  EXPECT_EQ(entry->left_worker_id(), kLife);
+  EXPECT_EQ(entry->left_worker_id(), kWorkerId);
 }
 
 }  // namespace
--- a/Tests/Jobs/append_batcher_test.cc
+++ b/Tests/Jobs/append_batcher_test.cc
@@ -1,4 +1,5 @@
-// What becomes of entries when the log's answers are lost or refuse them.
+// Tests of the outcome of entries when the log's answers are lost or reject the
+// append.
 
 #include <gtest/gtest.h>
 
@@ -17,26 +18,26 @@
 
 const TimePoint kStart{std::chrono::seconds(100)};
 
-auto Options(bool give_back) -> AppendBatcherOptions {
+auto Options(bool settle_if_rejected) -> AppendBatcherOptions {
   AppendBatcherOptions options;
   options.producer = "entry";
-  options.settle_rejected = give_back;
+  options.settle_rejected = settle_if_rejected;
   return options;
 }
 
-struct FateCase {
+struct OutcomeCase {
   std::string name;
-  bool give_back = false;
+  bool settle_if_rejected = false;
   std::vector<AppendOutcome> outcomes;
   // The sequence number of each call.
   std::vector<uint64_t> sequences;
   std::vector<EntryOutcome> settled;
 };
 
-class FateTest : public testing::TestWithParam<FateCase> {};
+class OutcomeTest : public testing::TestWithParam<OutcomeCase> {};
 
-TEST_P(FateTest, EntryIsSettledOnce) {
-  AppendBatcher batcher(Options(GetParam().give_back));
+TEST_P(OutcomeTest, EntryIsSettledOnce) {
+  AppendBatcher batcher(Options(GetParam().settle_if_rejected));
   TimePoint now = kStart;
   std::vector<EntryOutcome> settled;
   batcher.Enqueue(7, {{"key", "value", 0}});
@@ -56,42 +57,42 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    FateTest,
-    testing::Values(FateCase{"stored",
-                             true,
-                             {AppendOutcome::kAppended},
-                             {1},
-                             {EntryOutcome::kStored}},
-                    FateCase{"refused_is_given_back",
-                             true,
-                             {AppendOutcome::kRejected},
-                             {1},
-                             {EntryOutcome::kNotStored}},
-                    // The first try may be in the log: a refusal of the second
-                    // says nothing about it.
-                    FateCase{"lost_then_refused_is_not_given_back",
-                             true,
-                             {AppendOutcome::kUnknown, AppendOutcome::kRejected,
-                              AppendOutcome::kAppended},
-                             {1, 1, 1},
-                             {EntryOutcome::kStored}},
-                    FateCase{
-                        "kept_until_stored",
-                        false,
-                        {AppendOutcome::kRejected, AppendOutcome::kRejected,
-                         AppendOutcome::kAppended},
-                        {1, 1, 1},
-                        {EntryOutcome::kStored}},
-                    FateCase{"fenced_settles_nothing",
-                             false,
-                             {AppendOutcome::kFenced},
-                             {1},
-                             {}}),
+    OutcomeTest,
+    testing::Values(
+        OutcomeCase{"stored",
+                    true,
+                    {AppendOutcome::kAppended},
+                    {1},
+                    {EntryOutcome::kStored}},
+        OutcomeCase{"refused_is_given_back",
+                    true,
+                    {AppendOutcome::kRejected},
+                    {1},
+                    {EntryOutcome::kNotStored}},
+        // The first attempt may be in the log, and a rejection of
+        // the second says nothing about it.
+        OutcomeCase{"lost_then_refused_is_not_given_back",
+                    true,
+                    {AppendOutcome::kUnknown, AppendOutcome::kRejected,
+                     AppendOutcome::kAppended},
+                    {1, 1, 1},
+                    {EntryOutcome::kStored}},
+        OutcomeCase{"kept_until_stored",
+                    false,
+                    {AppendOutcome::kRejected, AppendOutcome::kRejected,
+                     AppendOutcome::kAppended},
+                    {1, 1, 1},
+                    {EntryOutcome::kStored}},
+        OutcomeCase{"fenced_settles_nothing",
+                    false,
+                    {AppendOutcome::kFenced},
+                    {1},
+                    {}}),
     [](const auto& info) { return info.param.name; });
 
-// Guards against a log that is only slow and is taken to have lost answer after
-// answer: each was asked for again before it could come.
-TEST(AppendBatcherTest, WaitsTwiceAsLongAfterEachUnansweredTry) {
+// Guards against a log that is only slow but counts as losing one answer after
+// another, because each append is repeated before its answer can arrive.
+TEST(AppendBatcherTest, DoublesTheTimeoutAfterEachUnansweredAttempt) {
   AppendBatcher batcher(Options(false));
   batcher.Enqueue(1, {{"key", "value", 0}});
   TimePoint now = kStart;
@@ -106,11 +107,10 @@
   }
 }
 
-// Symptom: an entry that was refused once refuses all callers for good.
-// Sequence: the log refuses an append; the log is back. Cause: callers were
-// refused while the last append had failed, and without a caller there was no
-// append that could succeed.
-TEST(AppendBatcherTest, TakesEntriesAgainAfterARefusal) {
+// Guards against an entry process that rejects all callers forever after one
+// rejected append. Callers were rejected while the last append had failed, and
+// without a caller there was no append that could succeed.
+TEST(AppendBatcherTest, AcceptsEntriesAgainAfterARejection) {
   AppendBatcher batcher(Options(true));
   batcher.Enqueue(1, {{"key", "value", 0}});
   ASSERT_TRUE(batcher.Next(kStart).has_value());
@@ -125,11 +125,11 @@
   EXPECT_TRUE(batcher.accepts(later));
 }
 
-// Symptom: an entry that was told to be stored is nowhere. Sequence: the log
-// carries out an append, and its sender takes it for refused and gives it back;
-// the next entry is sent. Cause: it went out under the sequence number of the
-// first, so the log took it for a repeat and answered without storing it.
-TEST(AppendBatcherTest, EntryAfterOneGivenBackIsNoRepeatOfIt) {
+// Guards against a lost entry that was reported as stored. The log carries out
+// an append whose sender counts it as rejected and settles it as not stored.
+// The next entry was sent under the same sequence number, so the log took it
+// for a repeat and answered without storing it.
+TEST(AppendBatcherTest, EntryAfterARejectedOneIsNotARepeat) {
   VirtualTime time(1);
   VirtualLog log(&time);
   const auto port = log.PortFor("entry", []() -> bool { return true; });
--- a/Tests/Jobs/capacity_test.cc
+++ b/Tests/Jobs/capacity_test.cc
@@ -1,4 +1,4 @@
-// Workers whose capacity shrinks and grows again while they run tasks.
+// Tests of workers whose capacity shrinks and grows again while they run tasks.
 
 #include <gtest/gtest.h>
 
@@ -12,11 +12,12 @@
 
 struct CapacityCase {
   std::string name;
-  // What the worker says of itself once four tasks of 1,000 millicores and
+  // Capacity that the worker reports once four tasks of 1,000 millicores and
   // 100 MB run there.
   uint32_t millicores = 0;
   uint64_t memory_mb = 0;
-  // Of these tasks; the others are being stopped, or run on.
+  // How many of these tasks have ended and are being stopped; the others
+  // continue to run.
   int ended = 0;
   int stopping = 0;
   int more_starts = 0;
@@ -31,7 +32,7 @@
     return step;
   }
 
-  // The worker as the case has it, with the first tasks ended.
+  // Returns the worker's report for the case, with the first tasks ended.
   auto ChangedWorker() -> AgentReport {
     auto report = Started("agent-0", 10);
     report.mutable_capacity()->set_millicores(GetParam().millicores);
@@ -48,9 +49,9 @@
   }
 };
 
-// Guards against a start that brings a worker over what it says it has now:
-// some do not refuse it. What is being stopped still counts.
-TEST_P(CapacityTest, NothingStartsBeyondWhatTheWorkerSays) {
+// Guards against a start that exceeds the capacity that the worker reports now,
+// since some workers do not reject it. Runs that are being stopped still count.
+TEST_P(CapacityTest, NothingStartsBeyondTheReportedCapacity) {
   PutJob({TaskStep(12)});
   Begin();
   Report("agent-0", ReportOf("agent-0"));
@@ -59,7 +60,7 @@
   now_ += milliseconds(100);
   auto report = ChangedWorker();
   if (GetParam().stopping > 0) {
-    // They make no progress.
+    // The tasks make no progress.
     now_ += seconds(3);
     Report("agent-0", Started("agent-0", 10));
     ASSERT_EQ(stops_["agent-0"].size(), 4U);
@@ -85,7 +86,7 @@
         CapacityCase{"grown", 6000, 4000, 0, 0, 2}),
     [](const auto& info) { return info.param.name; });
 
-// Guards against a worker that stays as small as it once was.
+// Guards against a worker that is still used at an earlier, smaller capacity.
 TEST_F(JobOwnerTest, RoomThatHasGrownAgainIsUsedAtOnce) {
   PutJob({Step(4)});
   Begin();
--- a/Tests/Jobs/job_check_test.cc
+++ b/Tests/Jobs/job_check_test.cc
@@ -1,4 +1,4 @@
-// Malformed jobs, and what is said about them.
+// Tests of the error messages for malformed jobs.
 
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 namespace rhubarbhaven::jobs {
 namespace {
 
-auto GoodJob() -> Job {
+auto ValidJob() -> Job {
   Job job;
   job.set_id("0123456789abcdef");
   job.set_payload("text");
@@ -24,14 +24,14 @@
 struct CheckCase {
   std::string name;
   std::function<auto(Job*)->void> change;
-  // Part of the message; empty if the job is right.
+  // Part of the message; empty if the job is valid.
   std::string message;
 };
 
 class JobCheckTest : public testing::TestWithParam<CheckCase> {};
 
-TEST_P(JobCheckTest, SaysWhatIsWrong) {
-  Job job = GoodJob();
+TEST_P(JobCheckTest, DescribesTheError) {
+  Job job = ValidJob();
   GetParam().change(&job);
   const auto status = CheckJob(job);
   EXPECT_EQ(status.ok(), GetParam().message.empty());
--- a/Tests/Jobs/job_fold_test.cc
+++ b/Tests/Jobs/job_fold_test.cc
@@ -1,4 +1,4 @@
-// The state of jobs as folded from the log's records.
+// Tests of the state of jobs as folded from the log's records.
 
 #include <absl/strings/str_cat.h>
 #include <gtest/gtest.h>
@@ -15,15 +15,15 @@
 namespace rhubarbhaven::jobs {
 namespace {
 
-constexpr char kId[] = "0123456789abcdef";
+constexpr char kJobId[] = "0123456789abcdef";
 
 auto JobRecord(uint64_t offset, const std::string& payload) -> KeyedRecord {
   Job job;
-  job.set_id(kId);
+  job.set_id(kJobId);
   job.set_queue("queue");
   job.set_payload(payload);
   job.add_steps()->set_count(1);
-  auto record = MakeRecord(RecordKind::kJob, kId, job);
+  auto record = MakeRecord(RecordKind::kJob, kJobId, job);
   record.offset = offset;
   return record;
 }
@@ -31,13 +31,13 @@
 auto ProgressRecord(uint64_t offset, JobState state) -> KeyedRecord {
   JobProgress progress;
   progress.set_state(state);
-  auto record = MakeRecord(RecordKind::kProgress, kId, progress);
+  auto record = MakeRecord(RecordKind::kProgress, kJobId, progress);
   record.offset = offset;
   return record;
 }
 
 auto CancelRecord(uint64_t offset) -> KeyedRecord {
-  auto record = MakeCancellation(kId);
+  auto record = MakeCancellation(kJobId);
   record.offset = offset;
   return record;
 }
@@ -55,8 +55,8 @@
   for (const auto& record : GetParam().records) {
     fold.Apply(record);
   }
-  ASSERT_NE(fold.Find(kId), nullptr);
-  EXPECT_EQ(fold.Find(kId)->state(), GetParam().state);
+  ASSERT_NE(fold.Find(kJobId), nullptr);
+  EXPECT_EQ(fold.Find(kJobId)->state(), GetParam().state);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -75,7 +75,7 @@
                   {JobRecord(1, "a"), CancelRecord(2),
                    ProgressRecord(3, JOB_COMPLETED)},
                   JOB_CANCELLED},
-        // Pages of newest records come in the order of keys.
+        // Pages of newest records are sorted by key.
         StateCase{"progress_read_ahead_of_the_job",
                   {CancelRecord(5), JobRecord(1, "a")},
                   JOB_CANCELLED},
@@ -85,39 +85,39 @@
                   JOB_COMPLETED}),
     [](const auto& info) { return info.param.name; });
 
-TEST(JobFoldTest, FirstRecordOfAnIdCounts) {
+TEST(JobFoldTest, KeepsTheFirstRecordOfAnId) {
   JobFold fold;
   fold.Apply(JobRecord(1, "first"));
   fold.Apply(JobRecord(2, "second"));
-  EXPECT_EQ(fold.Find(kId)->job.payload(), "first");
+  EXPECT_EQ(fold.Find(kJobId)->job.payload(), "first");
   EXPECT_EQ(fold.PendingIn("queue"), 1U);
 }
 
-TEST(JobFoldTest, DroppedJobIsGone) {
+TEST(JobFoldTest, RemovedJobIsUnknown) {
   JobFold fold;
   fold.Apply(JobRecord(1, "first"));
-  fold.Apply({MakeKey(RecordKind::kJob, kId), "", 2});
-  EXPECT_EQ(fold.Find(kId), nullptr);
+  fold.Apply({MakeKey(RecordKind::kJob, kJobId), "", 2});
+  EXPECT_EQ(fold.Find(kJobId), nullptr);
 }
 
 TEST(JobFoldTest, UnknownKeysAreIgnored) {
   JobFold fold;
   EXPECT_EQ(fold.Apply({"x/strange", "value", 1}).kind, RecordKind::kUnknown);
   EXPECT_EQ(fold.Apply({"", "value", 2}).kind, RecordKind::kUnknown);
-  // Not a message: the job stays unknown.
-  fold.Apply({MakeKey(RecordKind::kJob, kId), "\xff\xff", 3});
-  EXPECT_EQ(fold.Find(kId), nullptr);
+  // The value is no message, so the job remains unknown.
+  fold.Apply({MakeKey(RecordKind::kJob, kJobId), "\xff\xff", 3});
+  EXPECT_EQ(fold.Find(kJobId), nullptr);
 }
 
-constexpr char kOther[] = "fedcba9876543210";
+constexpr char kOtherJobId[] = "fedcba9876543210";
 constexpr char kAgent[] = "agent-0";
-constexpr char kLife[] = "life-1";
+constexpr char kWorkerId[] = "life-1";
 constexpr char kEntry[] = "entry-0";
 constexpr uint64_t kSeeds = 20000;
 
-auto GoodJob() -> Job {
+auto ValidJob() -> Job {
   Job job;
-  job.set_id(kId);
+  job.set_id(kJobId);
   job.set_queue("queue");
   job.add_steps()->set_count(3);
   auto* second = job.add_steps();
@@ -126,7 +126,7 @@
   return job;
 }
 
-auto GoodProgress() -> JobProgress {
+auto ValidProgress() -> JobProgress {
   JobProgress progress;
   progress.set_state(JOB_RUNNING);
   auto* occurrence = progress.add_occurrences();
@@ -138,7 +138,7 @@
   return progress;
 }
 
-auto GoodAgent() -> AgentEntry {
+auto ValidAgent() -> AgentEntry {
   AgentEntry entry;
   entry.set_name(kAgent);
   entry.set_link_endpoint("tcp://127.0.0.1:9000");
@@ -146,14 +146,14 @@
   return entry;
 }
 
-auto GoodEnds() -> WorkerEnds {
+auto ValidEnds() -> WorkerEnds {
   WorkerEnds ends;
-  ends.set_worker_id(kLife);
+  ends.set_worker_id(kWorkerId);
   ends.set_last_end(12);
   return ends;
 }
 
-auto GoodClaim() -> OwnerClaim {
+auto ValidClaim() -> OwnerClaim {
   OwnerClaim claim;
   claim.set_owner(kEntry);
   claim.set_incarnation(3);
@@ -161,7 +161,7 @@
   return claim;
 }
 
-auto GoodPressures() -> LearnedPressures {
+auto ValidPressures() -> LearnedPressures {
   LearnedPressures learned;
   auto* pressure = learned.add_pressures();
   pressure->set_serving_image("serving");
@@ -170,34 +170,34 @@
   return learned;
 }
 
-auto GoodGrants() -> AgentGrants {
+auto ValidGrants() -> AgentGrants {
   AgentGrants grants;
   grants.set_name(kAgent);
   grants.set_fence(3);
   return grants;
 }
 
-auto GoodResignation() -> OwnerResignation {
+auto ValidResignation() -> OwnerResignation {
   OwnerResignation resignation;
   resignation.set_owner(kEntry);
   resignation.set_fence(2);
   return resignation;
 }
 
-// One good record of each kind.
-auto GoodRecords() -> std::vector<KeyedRecord> {
-  return {MakeRecord(RecordKind::kJob, kId, GoodJob()),
-          MakeRecord(RecordKind::kProgress, kId, GoodProgress()),
-          MakeRecord(RecordKind::kAgent, kAgent, GoodAgent()),
-          MakeRecord(RecordKind::kAgentGrants, kAgent, GoodGrants()),
-          MakeRecord(RecordKind::kWorkerEnds, kLife, GoodEnds()),
-          MakeRecord(RecordKind::kClaim, "", GoodClaim()),
-          MakeRecord(RecordKind::kResignation, kEntry, GoodResignation()),
-          MakeRecord(RecordKind::kPressures, "", GoodPressures())};
+// Returns one valid record of each kind.
+auto ValidRecords() -> std::vector<KeyedRecord> {
+  return {MakeRecord(RecordKind::kJob, kJobId, ValidJob()),
+          MakeRecord(RecordKind::kProgress, kJobId, ValidProgress()),
+          MakeRecord(RecordKind::kAgent, kAgent, ValidAgent()),
+          MakeRecord(RecordKind::kAgentGrants, kAgent, ValidGrants()),
+          MakeRecord(RecordKind::kWorkerEnds, kWorkerId, ValidEnds()),
+          MakeRecord(RecordKind::kClaim, "", ValidClaim()),
+          MakeRecord(RecordKind::kResignation, kEntry, ValidResignation()),
+          MakeRecord(RecordKind::kPressures, "", ValidPressures())};
 }
 
-// All that a fold says, as text.
-auto Picture(const JobFold& fold) -> std::string {
+// Returns the complete state of a fold as text.
+auto StateText(const JobFold& fold) -> std::string {
   std::map<std::string, std::string> parts;
   for (const auto& [id, entry] : fold.jobs()) {
     parts["job " + id] = entry->job.ShortDebugString() + " / " +
@@ -208,7 +208,7 @@
     parts["agent " + name] = entry.ShortDebugString();
   }
   parts["granted"] = std::to_string(fold.granted_by(kAgent).value_or(0));
-  parts["ends"] = std::to_string(fold.ends_logged(kLife));
+  parts["ends"] = std::to_string(fold.ends_logged(kWorkerId));
   parts["resigned"] = std::to_string(fold.resigned_fence(kEntry));
   parts["claim"] = fold.claim().ShortDebugString();
   parts["pressures"] = fold.pressures().ShortDebugString();
@@ -228,128 +228,140 @@
   }
 }
 
-struct BadRecord {
+struct InvalidRecord {
   std::string name;
   KeyedRecord record;
 };
 
 template <typename Message>
-auto Bad(const std::string& name,
-         RecordKind kind,
-         const std::string& key,
-         Message message,
-         const std::function<auto(Message*)->void>& change) -> BadRecord {
+auto MakeInvalid(const std::string& name,
+                 RecordKind kind,
+                 const std::string& key,
+                 Message message,
+                 const std::function<auto(Message*)->void>& change)
+    -> InvalidRecord {
   change(&message);
   return {name, MakeRecord(kind, key, message)};
 }
 
-// A record whose last bytes are missing.
-auto Cut(const std::string& name,
-         RecordKind kind,
-         const std::string& key,
-         const google::protobuf::Message& message) -> BadRecord {
+// Returns a record whose last byte is missing.
+auto MakeTruncated(const std::string& name,
+                   RecordKind kind,
+                   const std::string& key,
+                   const google::protobuf::Message& message) -> InvalidRecord {
   auto record = MakeRecord(kind, key, message);
   record.value.pop_back();
   return {name, record};
 }
 
-auto BadBytes() -> std::vector<BadRecord> {
-  std::vector<BadRecord> bad;
+auto InvalidBytes() -> std::vector<InvalidRecord> {
+  std::vector<InvalidRecord> invalid;
   const std::map<std::string, std::string> values = {
       {"garbage", "\xff\xff"},
       {"json", R"({"name":"agent-0","link_endpoint":"tcp://127.0.0.1:9000"})"},
       // The first field as a number.
       {"other_type", std::string("\x08\x01")}};
   const std::map<std::string, std::string> keys = {
-      {"job", MakeKey(RecordKind::kJob, kId)},
-      {"progress", MakeKey(RecordKind::kProgress, kId)},
-      {"cancellation", MakeKey(RecordKind::kCancellation, kId)},
+      {"job", MakeKey(RecordKind::kJob, kJobId)},
+      {"progress", MakeKey(RecordKind::kProgress, kJobId)},
+      {"cancellation", MakeKey(RecordKind::kCancellation, kJobId)},
       {"agent", MakeKey(RecordKind::kAgent, kAgent)},
-      {"ends", MakeKey(RecordKind::kWorkerEnds, kLife)},
+      {"ends", MakeKey(RecordKind::kWorkerEnds, kWorkerId)},
       {"claim", MakeKey(RecordKind::kClaim)},
       {"pressures", MakeKey(RecordKind::kPressures)},
       {"unknown", "x/strange"}};
   for (const auto& [kind, key] : keys) {
     for (const auto& [name, value] : values) {
-      // The first field of progress is a number, and 1 a state.
+      // The first field of progress is a number, and 1 is a valid state.
       if (kind != "progress" || name != "other_type") {
-        bad.push_back({absl::StrCat(kind, "_", name), {key, value, 0}});
+        invalid.push_back({absl::StrCat(kind, "_", name), {key, value, 0}});
       }
     }
   }
-  // Pressures of another type are unknown fields, that is, none at all.
-  std::erase_if(bad, [](const BadRecord& record) -> bool {
+  // Pressures of another type are parsed as unknown fields, that is, as no
+  // pressures.
+  std::erase_if(invalid, [](const InvalidRecord& record) -> bool {
     return record.name == "pressures_other_type";
   });
-  return bad;
+  return invalid;
 }
 
-auto BadJobs() -> std::vector<BadRecord> {
+auto InvalidJobs() -> std::vector<InvalidRecord> {
   const auto job = [](const std::string& name, const std::string& key,
                       const std::function<auto(Job*)->void>& change) {
-    return Bad<Job>("job_" + name, RecordKind::kJob, key, GoodJob(), change);
+    return MakeInvalid<Job>("job_" + name, RecordKind::kJob, key, ValidJob(),
+                            change);
   };
-  return {Cut("job_cut", RecordKind::kJob, kId, GoodJob()),
-          job("without_id", kId, [](Job* job) { job->clear_id(); }),
-          job("of_another_id", kId, [](Job* job) { job->set_id(kOther); }),
-          job("under_another_key", kOther, [](Job*) {}),
-          job("with_a_strange_id", "strange",
-              [](Job* job) { job->set_id("strange"); }),
-          job("without_steps", kId, [](Job* job) { job->clear_steps(); }),
-          job("after_itself", kId,
-              [](Job* job) { job->mutable_steps(1)->set_after(0, 1); }),
-          job("after_no_step", kId,
-              [](Job* job) { job->mutable_steps(1)->set_after(0, 900); }),
-          job("without_tasks", kId,
-              [](Job* job) { job->mutable_steps(0)->set_count(0); }),
-          job("with_absurd_tasks", kId,
-              [](Job* job) { job->mutable_steps(0)->set_count(UINT32_MAX); }),
-          job("with_absurd_occurrences", kId,
-              [](Job* job) { job->set_occurrences(UINT32_MAX); })};
-}
-
-auto BadProgress() -> std::vector<BadRecord> {
+  return {
+      MakeTruncated("job_cut", RecordKind::kJob, kJobId, ValidJob()),
+      job("without_id", kJobId, [](Job* job) { job->clear_id(); }),
+      job("of_another_id", kJobId, [](Job* job) { job->set_id(kOtherJobId); }),
+      job("under_another_key", kOtherJobId, [](Job*) {}),
+      job("with_a_strange_id", "strange",
+          [](Job* job) { job->set_id("strange"); }),
+      job("without_steps", kJobId, [](Job* job) { job->clear_steps(); }),
+      job("after_itself", kJobId,
+          [](Job* job) { job->mutable_steps(1)->set_after(0, 1); }),
+      job("after_no_step", kJobId,
+          [](Job* job) { job->mutable_steps(1)->set_after(0, 900); }),
+      job("without_tasks", kJobId,
+          [](Job* job) { job->mutable_steps(0)->set_count(0); }),
+      job("with_absurd_tasks", kJobId,
+          [](Job* job) { job->mutable_steps(0)->set_count(UINT32_MAX); }),
+      job("with_absurd_occurrences", kJobId,
+          [](Job* job) { job->set_occurrences(UINT32_MAX); })};
+}
+
+auto InvalidProgress() -> std::vector<InvalidRecord> {
   using Change = std::function<auto(JobProgress*)->void>;
   const auto progress = [](const std::string& name, const Change& change) {
-    return Bad<JobProgress>("progress_" + name, RecordKind::kProgress, kId,
-                            GoodProgress(), change);
+    return MakeInvalid<JobProgress>("progress_" + name, RecordKind::kProgress,
+                                    kJobId, ValidProgress(), change);
   };
   return {
-      Cut("progress_cut", RecordKind::kProgress, kId, GoodProgress()),
+      MakeTruncated("progress_cut", RecordKind::kProgress, kJobId,
+                    ValidProgress()),
       progress("with_an_unknown_state",
-               [](JobProgress* made) {
-                 made->set_state(static_cast<JobState>(17));
+               [](JobProgress* record_message) {
+                 record_message->set_state(static_cast<JobState>(17));
                }),
       // Only a cancellation's own record cancels.
       progress("that_cancels",
-               [](JobProgress* made) { made->set_state(JOB_CANCELLED); }),
+               [](JobProgress* record_message) {
+                 record_message->set_state(JOB_CANCELLED);
+               }),
       progress("of_an_unknown_step",
-               [](JobProgress* made) {
-                 made->mutable_occurrences(0)->mutable_steps(1)->set_number(2);
+               [](JobProgress* record_message) {
+                 record_message->mutable_occurrences(0)
+                     ->mutable_steps(1)
+                     ->set_number(2);
                }),
       progress("of_an_absurd_step",
-               [](JobProgress* made) {
-                 made->mutable_occurrences(0)->mutable_steps(1)->set_number(
-                     UINT32_MAX);
+               [](JobProgress* record_message) {
+                 record_message->mutable_occurrences(0)
+                     ->mutable_steps(1)
+                     ->set_number(UINT32_MAX);
                }),
       progress("of_a_step_twice",
-               [](JobProgress* made) {
-                 made->mutable_occurrences(0)->mutable_steps(1)->set_number(0);
+               [](JobProgress* record_message) {
+                 record_message->mutable_occurrences(0)
+                     ->mutable_steps(1)
+                     ->set_number(0);
                }),
       progress("of_an_unknown_occurrence",
-               [](JobProgress* made) {
-                 made->mutable_occurrences(0)->set_number(1);
+               [](JobProgress* record_message) {
+                 record_message->mutable_occurrences(0)->set_number(1);
                }),
       progress("of_an_absurd_occurrence",
-               [](JobProgress* made) {
-                 made->mutable_occurrences(0)->set_number(UINT32_MAX);
+               [](JobProgress* record_message) {
+                 record_message->mutable_occurrences(0)->set_number(UINT32_MAX);
                }),
-      progress("of_an_occurrence_twice", [](JobProgress* made) {
-        *made->add_occurrences() = made->occurrences(0);
+      progress("of_an_occurrence_twice", [](JobProgress* record_message) {
+        *record_message->add_occurrences() = record_message->occurrences(0);
       })};
 }
 
-auto BadOthers() -> std::vector<BadRecord> {
+auto OtherInvalidRecords() -> std::vector<InvalidRecord> {
   using ChangeAgent = std::function<auto(AgentEntry*)->void>;
   using ChangeGrants = std::function<auto(AgentGrants*)->void>;
   using ChangeEnds = std::function<auto(WorkerEnds*)->void>;
@@ -358,35 +370,36 @@
   using ChangePressures = std::function<auto(LearnedPressures*)->void>;
   const auto agent = [](const std::string& name, const std::string& key,
                         const ChangeAgent& change) {
-    return Bad<AgentEntry>("agent_" + name, RecordKind::kAgent, key,
-                           GoodAgent(), change);
+    return MakeInvalid<AgentEntry>("agent_" + name, RecordKind::kAgent, key,
+                                   ValidAgent(), change);
   };
   const auto grants = [](const std::string& name, const ChangeGrants& change) {
-    return Bad<AgentGrants>("grants_" + name, RecordKind::kAgentGrants, kAgent,
-                            GoodGrants(), change);
+    return MakeInvalid<AgentGrants>("grants_" + name, RecordKind::kAgentGrants,
+                                    kAgent, ValidGrants(), change);
   };
   const auto ends = [](const std::string& name, const ChangeEnds& change) {
-    return Bad<WorkerEnds>("ends_" + name, RecordKind::kWorkerEnds, kLife,
-                           GoodEnds(), change);
+    return MakeInvalid<WorkerEnds>("ends_" + name, RecordKind::kWorkerEnds,
+                                   kWorkerId, ValidEnds(), change);
   };
   const auto claim = [](const std::string& name, const std::string& key,
                         const ChangeClaim& change) {
-    return Bad<OwnerClaim>("claim_" + name, RecordKind::kClaim, key,
-                           GoodClaim(), change);
+    return MakeInvalid<OwnerClaim>("claim_" + name, RecordKind::kClaim, key,
+                                   ValidClaim(), change);
   };
   const auto resignation = [](const std::string& name,
                               const ChangeResignation& change) {
-    return Bad<OwnerResignation>("resignation_" + name,
-                                 RecordKind::kResignation, kEntry,
-                                 GoodResignation(), change);
+    return MakeInvalid<OwnerResignation>("resignation_" + name,
+                                         RecordKind::kResignation, kEntry,
+                                         ValidResignation(), change);
   };
   const auto pressures = [](const std::string& name, const std::string& key,
                             const ChangePressures& change) {
-    return Bad<LearnedPressures>("pressures_" + name, RecordKind::kPressures,
-                                 key, GoodPressures(), change);
+    return MakeInvalid<LearnedPressures>("pressures_" + name,
+                                         RecordKind::kPressures, key,
+                                         ValidPressures(), change);
   };
   return {
-      Cut("agent_cut", RecordKind::kAgent, kAgent, GoodAgent()),
+      MakeTruncated("agent_cut", RecordKind::kAgent, kAgent, ValidAgent()),
       agent("without_name", kAgent,
             [](AgentEntry* entry) { entry->clear_name(); }),
       agent("of_another_name", kAgent,
@@ -395,118 +408,144 @@
       agent("without_key", "", [](AgentEntry* entry) { entry->clear_name(); }),
       agent("without_endpoint", kAgent,
             [](AgentEntry* entry) { entry->clear_link_endpoint(); }),
-      Cut("grants_cut", RecordKind::kAgentGrants, kAgent, GoodGrants()),
-      grants("without_name", [](AgentGrants* made) { made->clear_name(); }),
+      MakeTruncated("grants_cut", RecordKind::kAgentGrants, kAgent,
+                    ValidGrants()),
+      grants("without_name",
+             [](AgentGrants* record_message) { record_message->clear_name(); }),
       grants("of_another_agent",
-             [](AgentGrants* made) { made->set_name("agent-9"); }),
-      grants("without_fence", [](AgentGrants* made) { made->clear_fence(); }),
-      Cut("ends_cut", RecordKind::kWorkerEnds, kLife, GoodEnds()),
-      ends("without_worker", [](WorkerEnds* made) { made->clear_worker_id(); }),
+             [](AgentGrants* record_message) {
+               record_message->set_name("agent-9");
+             }),
+      grants(
+          "without_fence",
+          [](AgentGrants* record_message) { record_message->clear_fence(); }),
+      MakeTruncated("ends_cut", RecordKind::kWorkerEnds, kWorkerId,
+                    ValidEnds()),
+      ends("without_worker",
+           [](WorkerEnds* record_message) {
+             record_message->clear_worker_id();
+           }),
       ends("of_another_worker",
-           [](WorkerEnds* made) { made->set_worker_id("life-2"); }),
-      Cut("resignation_cut", RecordKind::kResignation, kEntry,
-          GoodResignation()),
+           [](WorkerEnds* record_message) {
+             record_message->set_worker_id("life-2");
+           }),
+      MakeTruncated("resignation_cut", RecordKind::kResignation, kEntry,
+                    ValidResignation()),
       resignation("without_owner",
-                  [](OwnerResignation* made) { made->clear_owner(); }),
+                  [](OwnerResignation* record_message) {
+                    record_message->clear_owner();
+                  }),
       resignation("of_another_entry",
-                  [](OwnerResignation* made) { made->set_owner("entry-9"); }),
+                  [](OwnerResignation* record_message) {
+                    record_message->set_owner("entry-9");
+                  }),
       resignation("without_fence",
-                  [](OwnerResignation* made) { made->clear_fence(); }),
-      Cut("claim_cut", RecordKind::kClaim, "", GoodClaim()),
-      claim("without_owner", "", [](OwnerClaim* made) { made->clear_owner(); }),
-      claim("without_fence", "", [](OwnerClaim* made) { made->clear_fence(); }),
+                  [](OwnerResignation* record_message) {
+                    record_message->clear_fence();
+                  }),
+      MakeTruncated("claim_cut", RecordKind::kClaim, "", ValidClaim()),
+      claim("without_owner", "",
+            [](OwnerClaim* record_message) { record_message->clear_owner(); }),
+      claim("without_fence", "",
+            [](OwnerClaim* record_message) { record_message->clear_fence(); }),
       claim("with_an_absurd_fence", "",
-            [](OwnerClaim* made) { made->set_fence(UINT64_MAX); }),
+            [](OwnerClaim* record_message) {
+              record_message->set_fence(UINT64_MAX);
+            }),
       claim("under_another_key", "other",
-            [](OwnerClaim* made) { made->set_fence(5); }),
-      Cut("pressures_cut", RecordKind::kPressures, "", GoodPressures()),
+            [](OwnerClaim* record_message) { record_message->set_fence(5); }),
+      MakeTruncated("pressures_cut", RecordKind::kPressures, "",
+                    ValidPressures()),
       pressures("that_are_no_number", "",
-                [](LearnedPressures* made) {
-                  made->mutable_pressures(0)->set_pressure(
+                [](LearnedPressures* record_message) {
+                  record_message->mutable_pressures(0)->set_pressure(
                       std::numeric_limits<double>::quiet_NaN());
                 }),
       pressures("that_are_negative", "",
-                [](LearnedPressures* made) {
-                  made->mutable_pressures(0)->set_pressure(-1.0);
+                [](LearnedPressures* record_message) {
+                  record_message->mutable_pressures(0)->set_pressure(-1.0);
                 }),
       pressures("under_another_key", "other",
-                [](LearnedPressures* made) {
-                  made->mutable_pressures(0)->set_pressure(9.0);
+                [](LearnedPressures* record_message) {
+                  record_message->mutable_pressures(0)->set_pressure(9.0);
                 }),
       {"cancellation_of_no_job",
        {MakeKey(RecordKind::kCancellation, "strange"), "cancelled", 0}}};
 }
 
-auto BadRecords() -> std::vector<BadRecord> {
-  std::vector<BadRecord> all;
-  for (const auto& some : {BadBytes(), BadJobs(), BadProgress(), BadOthers()}) {
+auto InvalidRecords() -> std::vector<InvalidRecord> {
+  std::vector<InvalidRecord> all;
+  for (const auto& some : {InvalidBytes(), InvalidJobs(), InvalidProgress(),
+                           OtherInvalidRecords()}) {
     all.insert(all.end(), some.begin(), some.end());
   }
   return all;
 }
 
-// Symptom: an owner polls agents that do not exist, and one that has just begun
-// lets tasks wait until the leases are over; a job hangs, vanishes, or ends the
-// process. Sequence: another writer puts a record that cannot be read, lacks
-// fields, or names what is not there. Cause: what was read of it was kept.
-class BadRecordTest : public testing::TestWithParam<BadRecord> {};
+// Guards against an owner that polls agents that do not exist, a new owner that
+// delays tasks until the leases have expired, and a job that hangs, vanishes or
+// terminates the process. Another writer stores a record that cannot be parsed,
+// lacks fields, or refers to something that does not exist, and the parts that
+// could be parsed were kept.
+class InvalidRecordTest : public testing::TestWithParam<InvalidRecord> {};
 
-TEST_P(BadRecordTest, LeavesWhatEarlierRecordsSaid) {
+TEST_P(InvalidRecordTest, KeepsTheStateOfEarlierRecords) {
   JobFold fold;
-  ApplyAll(&fold, 1, GoodRecords());
-  const std::string before = Picture(fold);
+  ApplyAll(&fold, 1, ValidRecords());
+  const std::string before = StateText(fold);
   auto record = GetParam().record;
   record.offset = 50;
   const auto change = fold.Apply(record);
-  EXPECT_EQ(Picture(fold), before);
+  EXPECT_EQ(StateText(fold), before);
   EXPECT_EQ(change.kind, RecordKind::kUnknown);
   EXPECT_FALSE(change.skipped_reason.empty());
 }
 
-TEST_P(BadRecordTest, SaysNothingByItself) {
+TEST_P(InvalidRecordTest, LeavesAnEmptyFoldEmpty) {
   JobFold fold;
   ApplyAll(&fold, 1, {GetParam().record});
-  EXPECT_EQ(fold.Find(kId), nullptr);
-  EXPECT_EQ(fold.Find(kOther), nullptr);
+  EXPECT_EQ(fold.Find(kJobId), nullptr);
+  EXPECT_EQ(fold.Find(kOtherJobId), nullptr);
   EXPECT_TRUE(fold.agents().empty());
   EXPECT_EQ(fold.claim().fence(), 0U);
-  EXPECT_EQ(fold.ends_logged(kLife), 0U);
+  EXPECT_EQ(fold.ends_logged(kWorkerId), 0U);
 }
 
-TEST_P(BadRecordTest, LaterGoodRecordsAreTaken) {
-  JobFold good;
-  ApplyAll(&good, 10, GoodRecords());
+TEST_P(InvalidRecordTest, LaterValidRecordsAreApplied) {
+  JobFold valid;
+  ApplyAll(&valid, 10, ValidRecords());
   JobFold fold;
   ApplyAll(&fold, 1, {GetParam().record});
-  ApplyAll(&fold, 10, GoodRecords());
-  EXPECT_EQ(Picture(fold), Picture(good));
+  ApplyAll(&fold, 10, ValidRecords());
+  EXPECT_EQ(StateText(fold), StateText(valid));
 }
 
-// Progress may be read ahead of its job.
-TEST_P(BadRecordTest, IsFoundOutWhenTheJobComes) {
-  JobFold good;
-  ApplyAll(&good, 10, {GoodRecords().front()});
+// Progress may be read before its job; invalid progress is detected when the
+// job is read.
+TEST_P(InvalidRecordTest, IsDetectedWhenTheJobIsRead) {
+  JobFold valid;
+  ApplyAll(&valid, 10, {ValidRecords().front()});
   JobFold fold;
-  ApplyAll(&fold, 1, {GetParam().record, GoodRecords().front()});
-  ASSERT_NE(fold.Find(kId), nullptr);
-  EXPECT_EQ(fold.Find(kId)->progress.ShortDebugString(), "");
-  EXPECT_EQ(fold.Find(kId)->state(), JOB_QUEUED);
+  ApplyAll(&fold, 1, {GetParam().record, ValidRecords().front()});
+  ASSERT_NE(fold.Find(kJobId), nullptr);
+  EXPECT_EQ(fold.Find(kJobId)->progress.ShortDebugString(), "");
+  EXPECT_EQ(fold.Find(kJobId)->state(), JOB_QUEUED);
 }
 
 INSTANTIATE_TEST_SUITE_P(Table,
-                         BadRecordTest,
-                         testing::ValuesIn(BadRecords()),
+                         InvalidRecordTest,
+                         testing::ValuesIn(InvalidRecords()),
                          [](const auto& info) { return info.param.name; });
 
-// Damaged records of all kinds, one after the other: whatever the fold takes of
-// them, an owner's work on it stays within its bounds.
-TEST(JobFoldTest, DamagedRecordsAreTakenOrPassedOver) {
+// Applies corrupted records of all kinds in sequence. Whatever the fold accepts
+// of them, an owner's work on it stays within its bounds.
+TEST(JobFoldTest, CorruptedRecordsAreAppliedOrSkipped) {
   std::mt19937_64 random(17);
-  const auto good = GoodRecords();
+  const auto valid = ValidRecords();
   JobFold fold;
-  ApplyAll(&fold, 1, good);
+  ApplyAll(&fold, 1, valid);
   for (uint64_t seed = 0; seed < kSeeds; ++seed) {
-    auto record = good[random() % good.size()];
+    auto record = valid[random() % valid.size()];
     const std::size_t changes = 1 + random() % 3;
     for (std::size_t i = 0; i < changes; ++i) {
       record.value[random() % record.value.size()] =
@@ -514,9 +553,9 @@
     }
     record.offset = 100 + seed;
     fold.Apply(record);
-    ASSERT_NE(fold.Find(kId), nullptr) << seed;
+    ASSERT_NE(fold.Find(kJobId), nullptr) << seed;
     JobWork work;
-    work.entry = fold.Find(kId);
+    work.entry = fold.Find(kJobId);
     work.Restore(TimePoint(), /*uncertain=*/false);
     ASSERT_EQ(fold.agents().size(), 1U) << seed;
     ASSERT_EQ(fold.agents().at(kAgent).name(), kAgent) << seed;
@@ -524,22 +563,22 @@
   }
 }
 
-TEST(JobFoldTest, EmptyValuesDropTheirKeys) {
+TEST(JobFoldTest, EmptyValuesRemoveTheirKeys) {
   JobFold fold;
-  ApplyAll(&fold, 1, GoodRecords());
-  for (const auto& record : GoodRecords()) {
+  ApplyAll(&fold, 1, ValidRecords());
+  for (const auto& record : ValidRecords()) {
     ApplyAll(&fold, 50, {{record.key, "", 0}});
   }
   EXPECT_TRUE(fold.jobs().empty());
   EXPECT_TRUE(fold.agents().empty());
-  EXPECT_EQ(fold.ends_logged(kLife), 0U);
+  EXPECT_EQ(fold.ends_logged(kWorkerId), 0U);
   EXPECT_EQ(fold.pressures().pressures_size(), 0);
 }
 
-TEST(JobFoldTest, GoodRecordsAreNotPassedOver) {
+TEST(JobFoldTest, ValidRecordsAreNotSkipped) {
   JobFold fold;
   for (int round = 0; round < 2; ++round) {
-    for (const auto& record : GoodRecords()) {
+    for (const auto& record : ValidRecords()) {
       EXPECT_EQ(fold.Apply(record).skipped_reason, "") << record.key;
       EXPECT_EQ(fold.Apply({record.key, record.value, 9}).kind,
                 ParseKey(record.key).kind);
@@ -547,76 +586,77 @@
   }
 }
 
-// Progress that was read ahead of its job and is not the job's.
-TEST(JobFoldTest, ProgressThatIsNotTheJobsIsNamed) {
-  auto progress = GoodProgress();
+// The progress was read before its job and does not match it.
+TEST(JobFoldTest, MismatchedProgressIsReported) {
+  auto progress = ValidProgress();
   progress.mutable_occurrences(0)->mutable_steps(1)->set_number(9);
   JobFold fold;
-  fold.Apply(MakeRecord(RecordKind::kProgress, kId, progress));
-  const auto change = fold.Apply(MakeRecord(RecordKind::kJob, kId, GoodJob()));
+  fold.Apply(MakeRecord(RecordKind::kProgress, kJobId, progress));
+  const auto change =
+      fold.Apply(MakeRecord(RecordKind::kJob, kJobId, ValidJob()));
   EXPECT_EQ(change.kind, RecordKind::kJob);
   EXPECT_NE(change.skipped_reason.find("step 9"), std::string::npos)
       << change.skipped_reason;
 }
 
-// Symptom: no entry can claim the cell. Cause: the claim was dropped, and the
-// next one began again at the lowest fence.
-TEST(JobFoldTest, DroppedClaimHoldsOn) {
+// Guards against a cell that no entry can claim: the claim was removed, and the
+// next one started again at the lowest fence.
+TEST(JobFoldTest, RemovedClaimRemainsInEffect) {
   JobFold fold;
-  ApplyAll(&fold, 1, GoodRecords());
+  ApplyAll(&fold, 1, ValidRecords());
   const auto change = fold.Apply({MakeKey(RecordKind::kClaim), "", 50});
   EXPECT_EQ(change.kind, RecordKind::kUnknown);
-  EXPECT_EQ(fold.claim().fence(), GoodClaim().fence());
+  EXPECT_EQ(fold.claim().fence(), ValidClaim().fence());
 }
 
-TEST(JobFoldTest, AgentsHaveEndpointsOfTheLinksForm) {
+TEST(JobFoldTest, AgentsRequireValidLinkEndpoints) {
   JobFold fold([](const std::string& endpoint) -> bool {
     return endpoint.starts_with("tcp://");
   });
-  auto entry = GoodAgent();
+  auto entry = ValidAgent();
   entry.set_link_endpoint("nowhere");
   fold.Apply(MakeRecord(RecordKind::kAgent, kAgent, entry));
   EXPECT_TRUE(fold.agents().empty());
-  fold.Apply(MakeRecord(RecordKind::kAgent, kAgent, GoodAgent()));
+  fold.Apply(MakeRecord(RecordKind::kAgent, kAgent, ValidAgent()));
   EXPECT_EQ(fold.agents().size(), 1U);
   fold.Apply(MakeRecord(RecordKind::kAgent, kAgent, entry));
   EXPECT_EQ(fold.agents().at(kAgent).link_endpoint(),
-            GoodAgent().link_endpoint());
+            ValidAgent().link_endpoint());
 }
 
-// Symptom watched for: a log full of one line. Sequence: the same input again
-// and again, and a flood of different ones.
-TEST(ComplaintBookTest, ComplainsOnceAndNotOfAll) {
+// Guards against a log that is flooded by one line, with the same input
+// repeated and with many different inputs.
+TEST(DiagnosticLimiterTest, LimitsRepeatedAndDistinctDiagnostics) {
   const DiagnosticLimiterOptions options;
-  DiagnosticLimiter book;
+  DiagnosticLimiter limiter;
   TimePoint now{std::chrono::hours(5)};
-  EXPECT_TRUE(book.ShouldLog(now, "a/ghost", "why"));
+  EXPECT_TRUE(limiter.ShouldLog(now, "a/ghost", "why"));
   for (int i = 0; i < 100; ++i) {
     now += std::chrono::seconds(1);
-    EXPECT_FALSE(book.ShouldLog(now, "a/ghost", "why"));
+    EXPECT_FALSE(limiter.ShouldLog(now, "a/ghost", "why"));
   }
-  EXPECT_TRUE(book.ShouldLog(now, "a/ghost", "other"));
-  std::size_t complaints = 2;
+  EXPECT_TRUE(limiter.ShouldLog(now, "a/ghost", "other"));
+  std::size_t logged = 2;
   for (int i = 0; i < 10000; ++i) {
-    complaints += book.ShouldLog(now, std::to_string(i), "why") ? 1 : 0;
+    logged += limiter.ShouldLog(now, std::to_string(i), "why") ? 1 : 0;
   }
-  EXPECT_EQ(complaints, options.max_diagnostics);
+  EXPECT_EQ(logged, options.max_diagnostics);
   now += options.repeat_interval;
-  EXPECT_TRUE(book.ShouldLog(now, "a/ghost", "why"));
+  EXPECT_TRUE(limiter.ShouldLog(now, "a/ghost", "why"));
 }
 
-TEST(ComplaintBookTest, TextForTheLogIsPrintableAndShort) {
+TEST(DiagnosticLimiterTest, TextForTheLogIsPrintableAndShort) {
   EXPECT_EQ(SanitizeForLog("a/\xff\n\x01z"), "a/???z");
   EXPECT_LE(SanitizeForLog(std::string(100000, 'x')).size(), 200U);
 }
 
-// Symptom: a job hangs at its last task, or the owner ends. Cause: a task that
-// two rows call done was counted twice, and a step beyond the job's was
-// written.
-TEST(JobWorkTest, RestoresOnlyWhatTheJobHas) {
+// Guards against a job that hangs at its last task, and against an owner that
+// crashes: a task that two rows list as done was counted twice, and a step
+// beyond the job's last one was written.
+TEST(JobWorkTest, RestoresOnlyStepsOfTheJob) {
   StoredJob stored;
-  stored.job = GoodJob();
-  stored.progress = GoodProgress();
+  stored.job = ValidJob();
+  stored.progress = ValidProgress();
   auto* occurrence = stored.progress.mutable_occurrences(0);
   *occurrence->add_steps() = occurrence->steps(0);
   occurrence->add_steps()->set_number(2);
--- a/Tests/Jobs/job_owner_fixture.h
+++ b/Tests/Jobs/job_owner_fixture.h
@@ -17,13 +17,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-inline constexpr char kId[] = "0123456789abcdef";
+inline constexpr char kJobId[] = "0123456789abcdef";
 inline constexpr uint64_t kFence = 7;
-// When grants of the owners before the last one are over.
-inline constexpr seconds kEarlierGrants{3};
+// Time from the owner's start until all grants of owners before the last one
+// have expired.
+inline constexpr seconds kEarlierGrantsDuration{3};
 
-// An owner whose agents are played by the test; the log is a fold that the test
-// fills.
+// An owner whose agents are simulated by the test. The log is a fold that the
+// test fills with records.
 class JobOwnerTest : public testing::Test {
  protected:
   JobOwnerTest() : owner_(JobOwnerOptions(), Hooks()) {
@@ -39,8 +40,8 @@
     hooks.send = [this](const std::string& agent, const AgentOrders& orders) {
       ++polls_[agent];
       crashes_logged_[agent] = orders.crashes_logged();
-      granted_ += orders.granted_from_us() > 0 ? 1 : 0;
-      latest_[agent] = orders;
+      leases_granted_ += orders.granted_from_us() > 0 ? 1 : 0;
+      latest_orders_[agent] = orders;
       for (const auto& start : orders.starts()) {
         starts_[agent][start.order()] = start;
       }
@@ -51,26 +52,26 @@
     hooks.log = [this](const OwnerDecision& decision) {
       decisions_.push_back(decision);
       if (decision.what == "waits") {
-        waits_.push_back(decision.why);
+        wait_reasons_.push_back(decision.why);
       }
     };
     hooks.log_agent = [](const std::string&, const std::string&) {};
     hooks.log_reconciliation = [this](const ReconciliationState& state) {
-      census_told_.push_back(state);
+      logged_reconciliations_.push_back(state);
     };
     hooks.log_starved = [this](const StarvedJob& job) {
-      standing_told_.push_back(job);
+      logged_starved_jobs_.push_back(job);
     };
-    hooks.report_starved = [this](std::size_t jobs) { standing_jobs_ = jobs; };
+    hooks.report_starved = [this](std::size_t jobs) { starved_jobs_ = jobs; };
     hooks.report_lag = [this](Duration lag) { lags_.push_back(lag); };
     hooks.rules = [this](const std::string&) { return &rules_; };
     hooks.is_evacuated = [this](const std::string& domain) -> bool {
       return evacuated_.contains(domain);
     };
     hooks.exclusive_until = [this]() -> TimePoint {
-      return std::min(now_, alone_until_);
+      return std::min(now_, exclusive_until_);
     };
-    hooks.wall_clock = [this]() -> milliseconds { return wall_; };
+    hooks.wall_clock = [this]() -> milliseconds { return wall_time_; };
     hooks.ask_advice = [this](const AdviceCall& call, const auto& done) {
       advice_calls_.push_back(call);
       on_advice_ = done;
@@ -84,18 +85,19 @@
     owner_.OnChange(now_, change);
   }
 
-  // The agent's registration; with the word that a life of its worker has left,
-  // if one is named.
-  auto PutAgent(const std::string& agent, const std::string& left = "")
-      -> void {
+  // Stores the agent's registration. A non-empty `left_worker_id` is the id of
+  // a worker process that the registration reports as having left.
+  auto PutAgent(const std::string& agent,
+                const std::string& left_worker_id = "") -> void {
     AgentEntry entry;
     entry.set_name(agent);
     entry.set_link_endpoint(agent);
-    entry.set_left_worker_id(left);
+    entry.set_left_worker_id(left_worker_id);
     Put(MakeRecord(RecordKind::kAgent, agent, entry));
   }
 
-  // The owner's own claim: jobs in the log before it are of before a takeover.
+  // Stores the owner's own claim; jobs in the log before it date from before a
+  // takeover.
   auto PutClaim() -> void {
     OwnerClaim claim;
     claim.set_owner("entry");
@@ -103,28 +105,29 @@
     Put(MakeRecord(RecordKind::kClaim, "", claim));
   }
 
-  // The note of an owner that it grants to the agent.
+  // Stores an owner's record that it grants leases to the agent, for the worker
+  // process `worker_id` if that is not empty.
   auto PutGrants(const std::string& agent,
                  uint64_t fence,
-                 const std::string& life = "") -> void {
+                 const std::string& worker_id = "") -> void {
     AgentGrants grants;
     grants.set_name(agent);
     grants.set_fence(fence);
-    grants.set_worker_id(life);
+    grants.set_worker_id(worker_id);
     Put(MakeRecord(RecordKind::kAgentGrants, agent, grants));
   }
 
   auto PutJob(const std::vector<JobStep>& steps, uint32_t occurrences = 0)
       -> void {
     Job job;
-    job.set_id(kId);
+    job.set_id(kJobId);
     for (const auto& step : steps) {
       *job.add_steps() = step;
     }
     job.set_occurrences(occurrences);
     job.set_first_due_unix_ms(1000);
     job.set_interval_ms(500);
-    Put(MakeRecord(RecordKind::kJob, kId, job));
+    Put(MakeRecord(RecordKind::kJob, kJobId, job));
   }
 
   static auto Step(uint32_t count) -> JobStep {
@@ -137,7 +140,7 @@
 
   auto Begin() -> void {
     owner_.Begin(now_, kFence, &fold_,
-                 {now_ + seconds(20), now_ + kEarlierGrants});
+                 {now_ + seconds(20), now_ + kEarlierGrantsDuration});
   }
 
   static auto ReportOf(const std::string& agent) -> AgentReport {
@@ -154,13 +157,13 @@
 
   auto Report(const std::string& agent, const AgentReport& report) -> void {
     EXPECT_TRUE(owner_.OnReport(now_, agent, report));
-    NoteGrants();
+    RecordGrants();
     owner_.Tick(now_);
   }
 
-  // The log takes at once that the owner grants to agents that have answered;
-  // other records wait for `StoreBatch`.
-  auto NoteGrants() -> void {
+  // Stores the pending batch if the owner has to record that it grants leases
+  // to agents that have answered. Other records wait for `StoreBatch`.
+  auto RecordGrants() -> void {
     const auto& workers = owner_.workers();
     if (std::any_of(workers.begin(), workers.end(), [](const auto& item) {
           return item.second->confirmed && !item.second->grants_recorded;
@@ -190,7 +193,8 @@
     return count;
   }
 
-  // A report by which an agent has carried out all of its starts.
+  // Returns a report that says that the agent has carried out all of its
+  // starts, each with `percent` of progress.
   auto Started(const std::string& agent, uint32_t percent) -> AgentReport {
     auto report = ReportOf(agent);
     for (const auto& [number, start] : starts_[agent]) {
@@ -207,31 +211,32 @@
 
   static inline uint64_t sent_us_ = 0;
   TimePoint now_{seconds(100)};
-  // From then on nothing shows that no other owner has followed.
-  TimePoint alone_until_ = TimePoint::max();
-  milliseconds wall_{0};
+  // The log has confirmed only up to this time that no other owner has
+  // followed.
+  TimePoint exclusive_until_ = TimePoint::max();
+  milliseconds wall_time_{0};
   uint64_t offset_ = 0;
   QueueRules rules_;
   JobFold fold_;
   std::map<std::string, int> polls_;
-  // Of the latest poll.
+  // From the latest poll of each agent.
   std::map<std::string, uint64_t> crashes_logged_;
-  std::map<std::string, AgentOrders> latest_;
+  std::map<std::string, AgentOrders> latest_orders_;
   std::set<std::string> evacuated_;
-  // Orders with a lease.
-  int granted_ = 0;
+  // Number of order messages that carried a lease.
+  int leases_granted_ = 0;
   std::map<std::string, std::map<uint64_t, StartOrder>> starts_;
   std::map<std::string, std::map<uint64_t, StopOrder>> stops_;
-  // What the log was told of the census.
-  std::vector<ReconciliationState> census_told_;
+  // States of the reconciliation that the owner logged.
+  std::vector<ReconciliationState> logged_reconciliations_;
   std::vector<Duration> lags_;
-  // Jobs that have nothing running, as told to the log, and how many.
-  std::vector<StarvedJob> standing_told_;
-  std::size_t standing_jobs_ = 0;
-  // What the log was told of runs.
+  // Starved jobs that the owner logged, and the number that it last reported.
+  std::vector<StarvedJob> logged_starved_jobs_;
+  std::size_t starved_jobs_ = 0;
+  // Decisions on runs that the owner logged.
   std::vector<OwnerDecision> decisions_;
-  // Why tasks wait, as told to the log.
-  std::vector<std::string> waits_;
+  // Logged reasons why tasks wait.
+  std::vector<std::string> wait_reasons_;
   std::vector<AdviceCall> advice_calls_;
   std::function<auto(TimePoint, AdviceResult)->void> on_advice_;
   JobOwner owner_;
--- a/Tests/Jobs/job_owner_test.cc
+++ b/Tests/Jobs/job_owner_test.cc
@@ -1,4 +1,4 @@
-// Where an owner starts tasks and what their ends mean.
+// Tests of where an owner starts tasks and how it handles their ends.
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 namespace rhubarbhaven::jobs {
 namespace {
 
-TEST_F(JobOwnerTest, NextStepWaitsForAllTasksOfTheOneBefore) {
+TEST_F(JobOwnerTest, NextStepWaitsForAllTasksOfThePreviousOne) {
   auto second = Step(1);
   second.add_after(0);
   PutJob({Step(2), second});
@@ -36,7 +36,7 @@
   EXPECT_EQ(Starts(), 3U);
 }
 
-// Symptom: a job hangs on a worker whose tasks stand still.
+// Guards against a job that hangs because its runs on a worker have stalled.
 TEST_F(JobOwnerTest, RunWithoutProgressIsStoppedAndStartedElsewhere) {
   PutJob({Step(1)});
   Begin();
@@ -60,17 +60,17 @@
   EXPECT_EQ(starts_[other].size(), 1U);
 }
 
-// Symptom: a task that lasts stays down although a worker has room, until
-// something else happens in the cell. Sequence: the only worker fails the task
-// three times and is set aside for 3 s; the task may be tried again after 50
-// ms, which finds no worker; nothing else runs. Cause: the owner kept one time
-// to look again, the earliest, and forgot that the worker would be taken back.
-TEST_F(JobOwnerTest, WorkerThatWasSetAsideIsTakenBackWithoutAnotherEvent) {
+// Guards against a long-running task that is not restarted, although a worker
+// has room, until some other event occurs. The only worker fails the task three
+// times and is quarantined for 3 s; the retry after 50 ms finds no worker, and
+// nothing else runs. The owner kept only the earliest time for its next scan
+// and lost the time at which the worker is reinstated.
+TEST_F(JobOwnerTest, QuarantinedWorkerIsReinstatedWithoutAnotherEvent) {
   Begin();
-  auto drains = ReportOf("agent-1");
-  drains.set_draining(true);
+  auto draining = ReportOf("agent-1");
+  draining.set_draining(true);
   Report("agent-0", ReportOf("agent-0"));
-  Report("agent-1", drains);
+  Report("agent-1", draining);
   auto step = Step(1);
   step.set_long_running(true);
   PutJob({step});
@@ -100,29 +100,29 @@
   EXPECT_EQ(starts_["agent-0"].size(), kFailures + 1);
 }
 
-// Symptom: a task stays down, and the log does not say whether the cell is full
-// or the owner does not know of the room. Cause: a task that found no worker
-// left no line.
-TEST_F(JobOwnerTest, LogSaysWhyATaskWaitsOnAndNotTooOften) {
+// Guards against a task that found no worker and left no log line, so that the
+// log does not show whether the cell is full or the owner does not know of the
+// room.
+TEST_F(JobOwnerTest, LogRepeatsWhyATaskWaitsButNotTooOften) {
   Begin();
-  auto drains = ReportOf("agent-1");
-  drains.set_draining(true);
+  auto draining = ReportOf("agent-1");
+  draining.set_draining(true);
   Report("agent-0", ReportOf("agent-0"));
-  Report("agent-1", drains);
+  Report("agent-1", draining);
   PutJob({Step(5)});
   for (int round = 0; round < 110; ++round) {
     now_ += milliseconds(100);
     Report("agent-0", ReportOf("agent-0"));
-    Report("agent-1", drains);
+    Report("agent-1", draining);
     owner_.OnRules();
   }
-  EXPECT_EQ(waits_, (std::vector<std::string>{"draining 1, no room 1",
-                                              "draining 1, no room 1"}));
+  EXPECT_EQ(wait_reasons_, (std::vector<std::string>{"draining 1, no room 1",
+                                                     "draining 1, no room 1"}));
 }
 
-struct SlowedCase {
+struct ThrottledCase {
   std::string name;
-  // As told of a run that wants 1000 millicores.
+  // As reported of a run that requests 1000 millicores.
   uint32_t millicores = 0;
   uint32_t percent = 0;
   bool checkpointing = false;
@@ -130,14 +130,15 @@
   bool moves = false;
 };
 
-class SlowedFillerTest : public JobOwnerTest,
-                         public testing::WithParamInterface<SlowedCase> {};
+class ThrottledOpportunisticTaskTest
+    : public JobOwnerTest,
+      public testing::WithParamInterface<ThrottledCase> {};
 
-// The load: tasks of 3 s that fill beside serving ones. Symptom: jobs are late
-// by one task that took 10 s, while others of its step took 3. Cause: its agent
-// slowed it to a tenth for the runs beside it, and it stayed there although
-// another worker would have let it run.
-TEST_P(SlowedFillerTest, MovesIfItEndsSoonerElsewhere) {
+// Guards against jobs delayed by one task that takes 10 s while the others of
+// its step take 3 s. With opportunistic tasks of 3 s beside serving ones, an
+// agent throttled one task to a tenth for the sake of the runs beside it, and
+// the task remained there although another worker would have let it run.
+TEST_P(ThrottledOpportunisticTaskTest, MovesIfItWouldFinishSoonerElsewhere) {
   const auto& param = GetParam();
   auto step = Step(1);
   step.set_uses_spare_processors(true);
@@ -163,20 +164,20 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    SlowedFillerTest,
-    testing::Values(SlowedCase{"slowed_to_a_tenth", 100, 10, true, true, true},
-                    SlowedCase{"stands_still", 0, 10, true, true, true},
-                    SlowedCase{"at_full_speed", 1000, 10, true, true, false},
-                    SlowedCase{"nearly_done", 200, 96, true, true, false},
-                    // It would begin again.
-                    SlowedCase{"half_done_without_checkpoints", 500, 50, false,
-                               true, false},
-                    SlowedCase{"slowed_without_checkpoints", 100, 10, false,
-                               true, true},
-                    SlowedCase{"no_other_worker", 100, 10, true, false, false}),
+    ThrottledOpportunisticTaskTest,
+    testing::Values(
+        ThrottledCase{"slowed_to_a_tenth", 100, 10, true, true, true},
+        ThrottledCase{"stands_still", 0, 10, true, true, true},
+        ThrottledCase{"at_full_speed", 1000, 10, true, true, false},
+        ThrottledCase{"nearly_done", 200, 96, true, true, false},
+        // It would start from the beginning.
+        ThrottledCase{"half_done_without_checkpoints", 500, 50, false, true,
+                      false},
+        ThrottledCase{"slowed_without_checkpoints", 100, 10, false, true, true},
+        ThrottledCase{"no_other_worker", 100, 10, true, false, false}),
     [](const auto& info) { return info.param.name; });
 
-TEST_F(JobOwnerTest, ProgressKeepsARunWhereItIs) {
+TEST_F(JobOwnerTest, RunWithProgressIsNotMoved) {
   PutJob({Step(1)});
   Begin();
   ReportAll();
@@ -228,16 +229,17 @@
   EXPECT_EQ(Starts(), 0U);
   for (const auto& [wall, starts] : std::vector<std::pair<int, std::size_t>>{
            {999, 0}, {1000, 1}, {1499, 1}, {1500, 2}, {2600, 3}}) {
-    now_ += milliseconds(wall) - wall_;
-    wall_ = milliseconds(wall);
+    now_ += milliseconds(wall) - wall_time_;
+    wall_time_ = milliseconds(wall);
     ReportAll();
     EXPECT_EQ(Starts(), starts) << wall;
   }
 }
 
-// A queue with a policy: nothing starts before it has answered, then only where
-// it allows; a ticket that a worker refused is asked for again.
-TEST_F(JobOwnerTest, TicketsSayWhereAStepMayRun) {
+// In a queue with a policy, nothing starts before the policy has answered, and
+// then only where it allows. A ticket that a worker rejected is requested
+// again.
+TEST_F(JobOwnerTest, TicketsDetermineWhereAStepMayRun) {
   rules_.set_needs_ticket(true);
   PutJob({Step(2)});
   Begin();
@@ -245,7 +247,7 @@
   EXPECT_EQ(Starts(), 0U);
   ASSERT_FALSE(advice_calls_.empty());
   const auto calls = advice_calls_.size();
-  EXPECT_EQ(advice_calls_.back().step.job(), kId);
+  EXPECT_EQ(advice_calls_.back().step.job(), kJobId);
   on_advice_(now_, {true, {{"life-of-agent-1", "ticket"}}, seconds(3)});
   ReportAll();
   EXPECT_EQ(starts_["agent-0"].size(), 0U);
@@ -265,28 +267,27 @@
   EXPECT_EQ(starts_["agent-1"].size(), 2U);
 }
 
-// Symptom watched for: the owner reads freed memory, and room stays taken.
-// Sequence: the record of a job that runs is dropped from the log.
 struct LastRunCase {
   std::string name;
-  // The start of the cancelled job is refused; else its worker ends.
-  bool refused = false;
+  // Whether the start of the cancelled job is rejected; otherwise its worker
+  // ends.
+  bool start_rejected = false;
 };
 
 class LastRunTest : public JobOwnerTest,
                     public testing::WithParamInterface<LastRunCase> {};
 
-// Guards against cancelled jobs that stay in memory and in the log for good,
-// since their last run did not end by a row of a listing.
-TEST_P(LastRunTest, CancelledJobIsDroppedHoweverItEnds) {
+// Guards against cancelled jobs that remain in memory and in the log forever
+// because their last run did not end by a row of a listing.
+TEST_P(LastRunTest, CancelledJobIsRemovedHoweverItEnds) {
   PutJob({Step(1)});
   Begin();
   ReportAll();
   const std::string agent = starts_.begin()->first;
   const uint64_t order = starts_[agent].begin()->first;
-  Put(MakeCancellation(kId));
+  Put(MakeCancellation(kJobId));
   auto report = ReportOf(agent);
-  if (GetParam().refused) {
+  if (GetParam().start_rejected) {
     auto* result = report.add_results();
     result->set_order(order);
     result->set_outcome(ORDER_REFUSED);
@@ -296,12 +297,12 @@
   Report(agent, report);
   now_ += JobOwnerOptions().ended_job_retention + seconds(1);
   owner_.Tick(now_);
-  bool dropped = false;
+  bool removed = false;
   for (const auto& record : owner_.TakeBatch()) {
-    dropped = dropped || (record.key == MakeKey(RecordKind::kJob, kId) &&
+    removed = removed || (record.key == MakeKey(RecordKind::kJob, kJobId) &&
                           record.value.empty());
   }
-  EXPECT_TRUE(dropped);
+  EXPECT_TRUE(removed);
 }
 
 INSTANTIATE_TEST_SUITE_P(Table,
@@ -310,23 +311,25 @@
                                          LastRunCase{"worker_ended", false}),
                          [](const auto& info) { return info.param.name; });
 
-TEST_F(JobOwnerTest, JobWhoseRecordIsDroppedGivesItsRoomBack) {
+// Guards against an owner that reads freed memory, and against room that is
+// never released, when the record of a running job is removed from the log.
+TEST_F(JobOwnerTest, JobWhoseRecordIsRemovedReleasesItsRoom) {
   Begin();
   ReportAll();
   PutJob({Step(8)});
   owner_.Tick(now_);
   ASSERT_EQ(Starts(), 8U);
-  Put({MakeKey(RecordKind::kJob, kId), "", 0});
+  Put({MakeKey(RecordKind::kJob, kJobId), "", 0});
   for (const char* agent : {"agent-0", "agent-1"}) {
     EXPECT_EQ(owner_.workers().at(agent)->held.millicores, 0) << agent;
   }
 }
 
-// A policy that is asked for tickets, with a cell in which nothing else
+// An owner that requests tickets from a policy, in a cell in which nothing else
 // happens.
 class TicketWaitTest : public JobOwnerTest {
  protected:
-  auto AskFirst(const JobStep& step) -> void {
+  auto MakeFirstRequest(const JobStep& step) -> void {
     rules_.set_needs_ticket(true);
     PutJob({step});
     Begin();
@@ -334,7 +337,7 @@
     ASSERT_EQ(advice_calls_.size(), 1U);
   }
 
-  // Both workers report for a while and nothing else happens.
+  // Both workers report for 2 s, and nothing else happens.
   auto Wait() -> void {
     for (int round = 0; round < 20; ++round) {
       now_ += milliseconds(100);
@@ -343,20 +346,21 @@
   }
 };
 
-// Symptom: a task that needs a ticket waits until something else happens in the
-// cell. Sequence: the policy's answer is lost, for one with the connection.
-// Cause: the question was marked as to be asked again, but nobody looked.
-TEST_F(TicketWaitTest, AsksAgainAfterAnAnswerWasLost) {
-  AskFirst(Step(1));
+// Guards against a task that needs a ticket and waits until some other event
+// occurs in the cell. The policy's answer was lost, for example with its
+// connection; the request was marked for a retry, but nothing triggered the
+// retry.
+TEST_F(TicketWaitTest, RetriesAfterALostAnswer) {
+  MakeFirstRequest(Step(1));
   on_advice_(now_, {});
   Wait();
   EXPECT_EQ(advice_calls_.size(), 2U);
 }
 
-// As above. Sequence: a worker joins less than the least pause between two
-// questions after the last one.
-TEST_F(TicketWaitTest, AsksAboutAWorkerThatJoinsRightAfterAQuestion) {
-  AskFirst(Step(5));
+// As above, but a worker joins sooner after the last request than the minimum
+// interval between two requests.
+TEST_F(TicketWaitTest, RequestsTicketsForAWorkerThatJoinsRightAfterARequest) {
+  MakeFirstRequest(Step(5));
   on_advice_(now_, {true, {{"life-of-agent-0", "ticket"}}, seconds(9)});
   owner_.Tick(now_);
   now_ += milliseconds(100);
@@ -365,9 +369,9 @@
   EXPECT_EQ(advice_calls_.size(), 2U);
 }
 
-// As above. Sequence: a worker refuses a ticket right after it was given.
-TEST_F(TicketWaitTest, AsksAgainAfterATicketWasRefused) {
-  AskFirst(Step(1));
+// As above, but a worker rejects a ticket right after it was issued.
+TEST_F(TicketWaitTest, RetriesAfterARejectedTicket) {
+  MakeFirstRequest(Step(1));
   on_advice_(now_, {true, {{"life-of-agent-0", "ticket"}}, seconds(9)});
   owner_.Tick(now_);
   ASSERT_EQ(starts_["agent-0"].size(), 1U);
@@ -380,9 +384,9 @@
   EXPECT_EQ(advice_calls_.size(), 2U);
 }
 
-// Symptom: a task waits beside room until something else happens. Sequence: a
-// worker tells of more room than before. Cause: only a worker that begins to
-// take runs made the owner look again.
+// Guards against a task that waits, although there is room, until some other
+// event occurs. A worker reported more room than before, but the owner scanned
+// again only for workers that began to accept runs.
 TEST_F(JobOwnerTest, RoomThatGrowsIsUsedAtOnce) {
   Begin();
   for (const char* agent : {"agent-0", "agent-1"}) {
@@ -401,17 +405,17 @@
   std::string name;
   uint32_t members = 0;
   std::size_t starts = 0;
-  // Of the gang's members; zero for no limit.
+  // Limit of the gang's members on one worker; zero for no limit.
   uint32_t max_per_worker = 0;
 };
 
 class GangTest : public JobOwnerTest,
                  public testing::WithParamInterface<GangCase> {};
 
-// Symptom watched for: more members of a gang on a worker than its step allows.
-// Sequence: all members find their place before the first one is started.
-// Cause: only tasks that were started were counted.
-TEST_P(GangTest, StartsWholeOrNotAtAll) {
+// Guards against more members of a gang on a worker than its step allows: all
+// members are placed before the first one is started, so counting only the
+// started tasks is not enough.
+TEST_P(GangTest, StartsAllMembersOrNone) {
   auto step = Step(GetParam().members);
   step.set_gang(true);
   step.set_max_per_worker(GetParam().max_per_worker);
@@ -441,16 +445,16 @@
                                          GangCase{"too_few_workers", 5, 0, 2}),
                          [](const auto& info) { return info.param.name; });
 
-struct PlaceCase {
+struct PlacementCase {
   std::string name;
   std::function<auto(JobStep*)->void> change;
   std::size_t starts = 0;
 };
 
-class PlaceTest : public JobOwnerTest,
-                  public testing::WithParamInterface<PlaceCase> {};
+class PlacementTest : public JobOwnerTest,
+                      public testing::WithParamInterface<PlacementCase> {};
 
-TEST_P(PlaceTest, KeepsTheStepsRules) {
+TEST_P(PlacementTest, FollowsTheStepsRules) {
   auto step = Step(6);
   GetParam().change(&step);
   PutJob({step});
@@ -466,28 +470,29 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    PlaceTest,
+    PlacementTest,
     testing::Values(
-        PlaceCase{"no_rule", [](JobStep*) {}, 6},
-        PlaceCase{
+        PlacementCase{"no_rule", [](JobStep*) {}, 6},
+        PlacementCase{
             "label_of_one",
             [](JobStep* step) { step->set_required_label("rack-of-agent-1"); },
             4},
-        PlaceCase{"label_of_none",
-                  [](JobStep* step) { step->set_required_label("other"); }, 0},
-        PlaceCase{"two_a_worker",
-                  [](JobStep* step) { step->set_max_per_worker(2); }, 4},
-        PlaceCase{
+        PlacementCase{"label_of_none",
+                      [](JobStep* step) { step->set_required_label("other"); },
+                      0},
+        PlacementCase{"two_a_worker",
+                      [](JobStep* step) { step->set_max_per_worker(2); }, 4},
+        PlacementCase{
             "memory",
             [](JobStep* step) { step->mutable_need()->set_memory_mb(2000); },
             4},
-        PlaceCase{
+        PlacementCase{
             "accelerator",
             [](JobStep* step) { step->mutable_need()->set_accelerators(1); },
             0}),
     [](const auto& info) { return info.param.name; });
 
-struct StrangeRecord {
+struct InvalidRecord {
   std::string name;
   KeyedRecord record;
 };
@@ -501,7 +506,7 @@
   return MakeRecord(RecordKind::kAgent, key, entry);
 }
 
-// Progress that calls the first task of these steps done.
+// Returns progress in which the first task of each of these steps is done.
 auto ProgressOf(const std::vector<uint32_t>& steps, uint32_t occurrence)
     -> KeyedRecord {
   JobProgress progress;
@@ -513,17 +518,17 @@
     step->set_number(number);
     step->set_done("\x01");
   }
-  return MakeRecord(RecordKind::kProgress, kId, progress);
+  return MakeRecord(RecordKind::kProgress, kJobId, progress);
 }
 
-class StrangeRecordTest : public JobOwnerTest,
-                          public testing::WithParamInterface<StrangeRecord> {};
+class InvalidRecordTest : public JobOwnerTest,
+                          public testing::WithParamInterface<InvalidRecord> {};
 
-// Symptom: after a takeover nothing starts for up to 20 s. Sequence: another
-// writer puts an entry that names no agent; a new owner begins. Cause: the
-// entry was taken for an agent, whose listing the census waited for. Likewise
-// progress that the job cannot have made ended the owner, or hung its job.
-TEST_P(StrangeRecordTest, HoldsNothingUp) {
+// Guards against a takeover after which nothing starts for up to 20 s. Another
+// writer stores an entry that names no agent; a new owner took it for an agent
+// and waited for its listing in the reconciliation. Likewise, progress that the
+// job cannot have made terminated the owner or made its job hang.
+TEST_P(InvalidRecordTest, DoesNotDelayTheOwner) {
   Put(GetParam().record);
   PutJob({Step(2)});
   Put(GetParam().record);
@@ -542,55 +547,55 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    StrangeRecordTest,
+    InvalidRecordTest,
     testing::Values(
-        StrangeRecord{"agent_garbage",
+        InvalidRecord{"agent_garbage",
                       {MakeKey(RecordKind::kAgent, "ghost"), "\xff\xff", 0}},
-        StrangeRecord{"agent_cut",
+        InvalidRecord{"agent_cut",
                       {MakeKey(RecordKind::kAgent, "ghost"),
                        std::string("\x0a\x05ghost\x12\x09tcp", 12), 0}},
-        StrangeRecord{"agent_without_name", AgentRecord("ghost", "", "there")},
-        StrangeRecord{"agent_of_another_name",
+        InvalidRecord{"agent_without_name", AgentRecord("ghost", "", "there")},
+        InvalidRecord{"agent_of_another_name",
                       AgentRecord("ghost", "phantom", "there")},
-        StrangeRecord{"agent_of_a_name_in_use",
+        InvalidRecord{"agent_of_a_name_in_use",
                       AgentRecord("ghost", "agent-0", "there")},
-        StrangeRecord{"agent_without_endpoint",
+        InvalidRecord{"agent_without_endpoint",
                       AgentRecord("ghost", "ghost", "")},
-        StrangeRecord{"good_agent_overwritten",
+        InvalidRecord{"good_agent_overwritten",
                       {MakeKey(RecordKind::kAgent, "agent-0"), "{}", 0}},
-        StrangeRecord{"progress_of_an_unknown_step", ProgressOf({9}, 0)},
-        StrangeRecord{"progress_of_an_absurd_step",
+        InvalidRecord{"progress_of_an_unknown_step", ProgressOf({9}, 0)},
+        InvalidRecord{"progress_of_an_absurd_step",
                       ProgressOf({UINT32_MAX}, 0)},
-        StrangeRecord{"progress_of_a_step_twice", ProgressOf({0, 0}, 0)},
-        StrangeRecord{"progress_of_an_unknown_occurrence", ProgressOf({0}, 5)},
-        StrangeRecord{"progress_of_an_absurd_occurrence",
+        InvalidRecord{"progress_of_a_step_twice", ProgressOf({0, 0}, 0)},
+        InvalidRecord{"progress_of_an_unknown_occurrence", ProgressOf({0}, 5)},
+        InvalidRecord{"progress_of_an_absurd_occurrence",
                       ProgressOf({0}, UINT32_MAX)},
-        StrangeRecord{"claim_garbage",
+        InvalidRecord{"claim_garbage",
                       {MakeKey(RecordKind::kClaim), "\xff\xff", 0}},
-        StrangeRecord{"ends_of_another_worker",
+        InvalidRecord{"ends_of_another_worker",
                       {MakeKey(RecordKind::kWorkerEnds, "life-of-agent-0"),
                        std::string("\x0a\x01x\x10\x7f", 5), 0}}),
     [](const auto& info) { return info.param.name; });
 
 struct ServiceCase {
   std::string name;
-  // Of the queue's rules, and of what the workers report.
-  std::string of_queue;
-  std::string of_workers;
+  // Service in the queue's rules, and the one that the workers report.
+  std::string queue_service;
+  std::string worker_service;
   std::size_t starts = 0;
 };
 
 class ServiceTest : public JobOwnerTest,
                     public testing::WithParamInterface<ServiceCase> {};
 
-// Symptom watched for: a task at a worker of no service that a queue names.
+// Guards against a task on a worker whose service the queue does not name.
 TEST_P(ServiceTest, OnlyWorkersOfTheQueuesServiceRunItsTasks) {
-  rules_.set_service(GetParam().of_queue);
+  rules_.set_service(GetParam().queue_service);
   PutJob({Step(2)});
   Begin();
   for (const char* agent : {"agent-0", "agent-1"}) {
     auto report = ReportOf(agent);
-    report.set_service(GetParam().of_workers);
+    report.set_service(GetParam().worker_service);
     Report(agent, report);
   }
   EXPECT_EQ(Starts(), GetParam().starts);
@@ -607,9 +612,10 @@
                     ServiceCase{"none_at_all", "", "", 0}),
     [](const auto& info) { return info.param.name; });
 
-// Guards against leases that run out while a burst of wide steps is placed:
-// reports that wait for the owner's turn to end are not taken in.
-TEST_F(JobOwnerTest, PlacesABurstInSeveralTurns) {
+// Guards against leases that expire while a burst of wide steps is placed:
+// reports that arrive during one call of the owner are not processed until it
+// returns.
+TEST_F(JobOwnerTest, PlacesABurstInSeveralTicks) {
   constexpr uint32_t kBurst = 250;
   Begin();
   auto report = ReportOf("agent-0");
@@ -625,9 +631,9 @@
   EXPECT_EQ(Starts(), kBurst);
 }
 
-// Guards against a cell that is asked again and again for room it has not got:
-// of a backlog, only the worker that has room again is asked.
-TEST_F(JobOwnerTest, ABacklogGoesWhereRoomComes) {
+// Guards against repeated placement attempts on workers that have no room: for
+// a backlog, the owner tries only the worker that has room again.
+TEST_F(JobOwnerTest, BacklogStartsWhereRoomIsReleased) {
   Begin();
   ReportAll();
   PutJob({Step(11)});
--- a/Tests/Jobs/keyed_log_follower_test.cc
+++ b/Tests/Jobs/keyed_log_follower_test.cc
@@ -1,4 +1,4 @@
-// How a reader of the keyed log comes back to its end.
+// Tests of how a reader of the keyed log catches up with its end.
 
 #include <gtest/gtest.h>
 
@@ -16,15 +16,16 @@
 
 constexpr char kReader[] = "reader";
 constexpr std::size_t kRecordBytes = 10000;
-// What the log has that the reader does not, and what comes meanwhile.
+// Number of records that the reader has missed, and the interval at which
+// further records are stored meanwhile.
 constexpr int kBacklog = 90;
-constexpr milliseconds kBetweenRecords{500};
+constexpr milliseconds kRecordInterval{500};
 
 struct SlowPathCase {
   std::string name;
-  // Of the reader's path, in bytes a second.
+  // Bandwidth of the reader's path, in bytes per second.
   std::size_t bandwidth = 0;
-  seconds current_within{0};
+  seconds catches_up_within{0};
 };
 
 class SlowPathTest : public testing::TestWithParam<SlowPathCase> {
@@ -55,10 +56,10 @@
     log_.Put(LogTopic::kJobs, {"key", std::string(kRecordBytes, 'x'), 0});
   }
 
-  auto PutLater() -> void {
-    time_.After(kBetweenRecords, [this]() -> void {
+  auto PutPeriodically() -> void {
+    time_.After(kRecordInterval, [this]() -> void {
       Put();
-      PutLater();
+      PutPeriodically();
     });
   }
 
@@ -67,9 +68,10 @@
   KeyedLogFollower follower_;
 };
 
-// Guards against a reader that asks for all that it has missed at once, again
-// and again, on a path that cannot bring as much in the time of one read.
-TEST_P(SlowPathTest, ReaderComesBackToTheEnd) {
+// Guards against a reader that repeatedly requests everything that it has
+// missed at once, on a path that cannot transfer as much within the time limit
+// of one read.
+TEST_P(SlowPathTest, ReaderCatchesUpWithTheEnd) {
   follower_.Start();
   RunFor(seconds(1));
   ASSERT_NE(follower_.caught_up_at(), TimePoint());
@@ -80,14 +82,14 @@
   RunFor(seconds(3));
   log_.SetModeFor(kReader, VirtualLog::Mode::kServes);
   log_.SetBandwidthFor(kReader, GetParam().bandwidth);
-  PutLater();
-  const TimePoint healed = time_.now();
-  RunFor(GetParam().current_within);
-  EXPECT_GT(follower_.caught_up_at(), healed);
+  PutPeriodically();
+  const TimePoint restored_at = time_.now();
+  RunFor(GetParam().catches_up_within);
+  EXPECT_GT(follower_.caught_up_at(), restored_at);
 }
 
-// Each bound is twice what the backlog and what comes meanwhile need on that
-// path, and the timeouts of the first reads.
+// Each bound is twice the time that the backlog, the records that are stored
+// meanwhile, and the time-outs of the first reads need on that path.
 INSTANTIATE_TEST_SUITE_P(
     Table,
     SlowPathTest,
--- a/Tests/Jobs/lag_watch_test.cc
+++ b/Tests/Jobs/lag_watch_test.cc
@@ -17,20 +17,20 @@
   std::vector<Change> changes;
 };
 
-class LagWatchTest : public testing::TestWithParam<LagCase> {};
+class LagMonitorTest : public testing::TestWithParam<LagCase> {};
 
-TEST_P(LagWatchTest, TellsOfBeginningAndEnd) {
-  LagMonitor watch({milliseconds(1000), milliseconds(300)});
+TEST_P(LagMonitorTest, ReportsStartAndEnd) {
+  LagMonitor monitor({milliseconds(1000), milliseconds(300)});
   std::vector<Change> changes;
   for (const auto lag : GetParam().lags) {
-    changes.push_back(watch.Record(lag));
+    changes.push_back(monitor.Record(lag));
   }
   EXPECT_EQ(changes, GetParam().changes);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    LagWatchTest,
+    LagMonitorTest,
     testing::Values(
         LagCase{"InTime",
                 {milliseconds(0), milliseconds(999)},
--- a/Tests/Jobs/owner_agents_test.cc
+++ b/Tests/Jobs/owner_agents_test.cc
@@ -1,5 +1,6 @@
-// Which agents an owner knows, what their silence means, and what a new owner
-// waits for before it starts tasks of before its claim.
+// Tests of which agents an owner knows, how it treats agents that do not
+// answer, and what a new owner waits for before it starts tasks from before its
+// claim.
 
 #include <gtest/gtest.h>
 
@@ -12,9 +13,9 @@
 namespace rhubarbhaven::jobs {
 namespace {
 
-// Symptom: tasks run in two places after an agent restarts. Sequence: the
-// agent's process is killed; the next one reports before its worker's first
-// heartbeat. Cause: no worker was taken for a worker that has left.
+// Guards against tasks that run in two places after an agent restarts: a report
+// without a worker, which a new agent process sends before its worker's first
+// heartbeat, was taken for a worker that had left.
 TEST_F(JobOwnerTest, ReportWithoutAWorkerLosesNoRuns) {
   PutJob({Step(1)});
   Begin();
@@ -30,32 +31,32 @@
   EXPECT_EQ(Starts(), 1U);
 }
 
-// Guards against a lease by the clock of a process that is gone: after a loss
-// of power the next one counts from zero.
-TEST_F(JobOwnerTest, GrantNamesTheProcessWhoseClockItIsOf) {
+// Guards against a lease by the clock of an agent process that has ended: after
+// a loss of power, the clock of the next process starts at zero.
+TEST_F(JobOwnerTest, GrantNamesTheProcessWhoseClockItUses) {
   constexpr uint64_t kFirst = 11;
   constexpr uint64_t kSecond = 12;
-  constexpr uint64_t kLongUp = 1'000'000'000;
+  constexpr uint64_t kLongUptimeUs = 1'000'000'000;
   Begin();
   auto report = ReportOf("agent-0");
   report.set_incarnation(kFirst);
-  report.set_sent_us(kLongUp);
+  report.set_sent_us(kLongUptimeUs);
   Report("agent-0", report);
   now_ += seconds(1);
   owner_.Tick(now_);
-  EXPECT_EQ(latest_["agent-0"].granted_from_us(), kLongUp);
-  EXPECT_EQ(latest_["agent-0"].granted_to_incarnation(), kFirst);
+  EXPECT_EQ(latest_orders_["agent-0"].granted_from_us(), kLongUptimeUs);
+  EXPECT_EQ(latest_orders_["agent-0"].granted_to_incarnation(), kFirst);
   report.set_incarnation(kSecond);
   report.set_sent_us(1);
   Report("agent-0", report);
   now_ += seconds(1);
   owner_.Tick(now_);
-  EXPECT_EQ(latest_["agent-0"].granted_from_us(), 1U);
-  EXPECT_EQ(latest_["agent-0"].granted_to_incarnation(), kSecond);
+  EXPECT_EQ(latest_orders_["agent-0"].granted_from_us(), 1U);
+  EXPECT_EQ(latest_orders_["agent-0"].granted_to_incarnation(), kSecond);
 }
 
-// Guards against starts in a failure domain that operators empty, and against
-// one that stays empty when they have taken that back.
+// Guards against starts in a failure domain that operators evacuate, and
+// against a domain that remains empty after the evacuation has been revoked.
 TEST_F(JobOwnerTest, NothingStartsInAnEvacuatedDomain) {
   const auto in_domain = [](const std::string& agent) -> AgentReport {
     auto report = ReportOf(agent);
@@ -73,17 +74,17 @@
   EXPECT_EQ(starts_["agent-1"].size(), 4U);
   now_ += milliseconds(400);
   owner_.Tick(now_);
-  EXPECT_TRUE(latest_["agent-0"].evacuated());
-  EXPECT_FALSE(latest_["agent-1"].evacuated());
+  EXPECT_TRUE(latest_orders_["agent-0"].evacuated());
+  EXPECT_FALSE(latest_orders_["agent-1"].evacuated());
   evacuated_.clear();
   owner_.OnEvacuations();
   owner_.Tick(now_);
   EXPECT_EQ(starts_["agent-0"].size(), 4U);
 }
 
-// Guards against the next owner's starts there: it learns of the domain from a
-// worker's first report.
-TEST_F(JobOwnerTest, WorkerThatComesIntoAnEvacuatedDomainTakesNothing) {
+// Guards against starts of a new owner in an evacuated domain: the owner learns
+// a worker's domain only from the worker's first report.
+TEST_F(JobOwnerTest, WorkerThatJoinsAnEvacuatedDomainGetsNoRuns) {
   evacuated_ = {"domain"};
   PutJob({Step(1)});
   Begin();
@@ -109,9 +110,10 @@
   EXPECT_EQ(Starts(), 2U);
 }
 
-// Symptom: a takeover takes 0.3 s longer than it must. Cause: the first poll of
-// an agent is lost while its connection is made, and the next came 0.3 s later.
-TEST_F(JobOwnerTest, AgentsAreAskedOftenUntilTheyAnswer) {
+// Guards against a takeover that takes 0.3 s longer than necessary: the first
+// poll of an agent is lost while its connection is made, and the next one
+// followed only 0.3 s later.
+TEST_F(JobOwnerTest, AgentsArePolledOftenUntilTheyAnswer) {
   Begin();
   owner_.Tick(now_);
   EXPECT_LE(owner_.next_wake(), now_ + milliseconds(50));
@@ -120,12 +122,11 @@
   EXPECT_GT(owner_.next_wake(), now_ + milliseconds(50));
 }
 
-// Symptom: workers that are added to the cell stay empty until the owner
-// changes, and tasks that lost their worker wait for room. Sequence: an agent
-// registers when the owner has been one for longer than it keeps silent agents.
-// Cause: an agent that had never reported counted as silent since the claim, so
-// that it was forgotten before it was polled for the first time.
-TEST_F(JobOwnerTest, AgentsThatComeLateAreAskedAndUsed) {
+// Guards against workers that are added to the cell but remain empty until the
+// owner changes. An agent that registered after the owner had owned the cell
+// for longer than its time limit for unresponsive agents was counted as
+// unresponsive since the claim, and so was forgotten before its first poll.
+TEST_F(JobOwnerTest, AgentsThatRegisterLateArePolledAndUsed) {
   Begin();
   ReportAll();
   for (int second = 0; second < 60; ++second) {
@@ -141,8 +142,8 @@
   EXPECT_EQ(starts_["agent-late"].size(), 4U);
 }
 
-// Symptom: the list of agents grows for good. Cause: agents that never
-// answered were kept.
+// Guards against unbounded growth of the list of agents by agents that never
+// answered.
 TEST_F(JobOwnerTest, AgentsThatNeverAnswerAreForgotten) {
   Begin();
   ReportAll();
@@ -158,11 +159,11 @@
   EXPECT_EQ(polls_["agent-0"], 1);
 }
 
-// Symptom: a worker that comes back stays empty for up to 3 s. Sequence: a
-// worker leaves, and its agent goes on answering without one; a while later the
-// next worker comes. Cause: only reports of a worker counted as a sign of life,
-// so the agent was forgotten, again after each of its registrations.
-TEST_F(JobOwnerTest, AgentThatAnswersWithoutAWorkerStaysKnown) {
+// Guards against a worker that returns but remains empty for up to 3 s. Its
+// agent kept answering without a worker, but only reports with a worker counted
+// as answers, so the owner forgot the agent, again after each of its
+// registrations.
+TEST_F(JobOwnerTest, AgentThatAnswersWithoutAWorkerIsNotForgotten) {
   Begin();
   ReportAll();
   AgentReport idle;
@@ -181,11 +182,11 @@
   EXPECT_TRUE(fold_.agents().contains("agent-1"));
 }
 
-// An owner that forgets a silent agent drops its registration from the log. The
-// agent may register again before the drop is in the log.
+// An owner that forgets an unresponsive agent removes its registration from the
+// log. The agent may register again before the removal is in the log.
 class ForgottenAgentTest : public JobOwnerTest {
  protected:
-  // Agent 1 is silent until the owner forgets it.
+  // Agent 1 does not report until the owner forgets it.
   auto ForgetAgent1() -> void {
     Begin();
     ReportAll();
@@ -202,29 +203,28 @@
   }
 };
 
-// Symptom: after a takeover tasks run in two places, or a worker is left empty
-// until its agent registers once more. Sequence: an agent is silent for so long
-// that the owner drops its registration; while the drop waits for the log,
-// which is away, the agent registers again and gets tasks; then the drop is
-// stored. Cause: the drop, decided before the registration, came after it in
-// the log, so the next owner did not know the agent and took its census without
-// it.
-TEST_F(ForgottenAgentTest, DropThatWaitsDoesNotUndoANewRegistration) {
+// Guards against tasks that run in two places, or a worker that remains empty
+// until its agent registers again, after a takeover. While the log is
+// unavailable, the removal of an unresponsive agent's registration is pending;
+// the agent registers again and gets tasks; then the removal, decided before
+// the registration, is stored behind it. The next owner did not know the agent
+// and reconciled without it.
+TEST_F(ForgottenAgentTest, PendingRemovalDoesNotUndoANewRegistration) {
   ForgetAgent1();
   RegisterAgent1();
   StoreBatch();
   EXPECT_TRUE(fold_.agents().contains("agent-1"));
 }
 
-// As above, with the drop on its way to the log when the agent registers: it is
-// given nothing until it has registered behind the drop.
-TEST_F(ForgottenAgentTest, AgentIsNotUsedUntilItsDropIsInTheLog) {
+// As above, but the removal has been sent to the log when the agent registers.
+// The agent gets no tasks until it has registered behind the removal.
+TEST_F(ForgottenAgentTest, AgentIsNotUsedUntilItsRemovalIsInTheLog) {
   ForgetAgent1();
-  const auto dropped = owner_.TakeBatch();
+  const auto removal = owner_.TakeBatch();
   polls_.clear();
   RegisterAgent1();
   EXPECT_EQ(polls_["agent-1"], 0);
-  for (const auto& record : dropped) {
+  for (const auto& record : removal) {
     Put(record);
   }
   owner_.OnBatchStored();
@@ -234,9 +234,9 @@
   EXPECT_TRUE(fold_.agents().contains("agent-1"));
 }
 
-// The other way round: the drop and a registration behind it are read before
-// the log's answer to the append that held the drop.
-TEST_F(ForgottenAgentTest, RegistrationBehindTheDropIsTaken) {
+// The removal and a registration behind it are read before the log's answer to
+// the append that held the removal.
+TEST_F(ForgottenAgentTest, RegistrationBehindTheRemovalIsAccepted) {
   ForgetAgent1();
   for (const auto& record : owner_.TakeBatch()) {
     Put(record);
@@ -246,18 +246,18 @@
   EXPECT_GT(polls_["agent-1"], 0);
 }
 
-// As above, with the drop stored and answered before it is read: the agent's
-// registration, read first, is still the one ahead of the drop. Used now, the
-// agent would have tasks while the log's roster does not name it, and a next
-// owner would start them elsewhere.
-TEST_F(ForgottenAgentTest, AgentIsNotUsedUntilItsDropHasBeenRead) {
+// As above, but the removal is stored and acknowledged before it is read: the
+// agent's registration that is read first is still the one before the removal.
+// If the agent were used now, it would have tasks while the membership in the
+// log does not name it, and the next owner would start them elsewhere.
+TEST_F(ForgottenAgentTest, AgentIsNotUsedUntilItsRemovalHasBeenRead) {
   ForgetAgent1();
-  const auto dropped = owner_.TakeBatch();
+  const auto removal = owner_.TakeBatch();
   owner_.OnBatchStored();
   polls_.clear();
   RegisterAgent1();
   EXPECT_EQ(polls_["agent-1"], 0);
-  for (const auto& record : dropped) {
+  for (const auto& record : removal) {
     Put(record);
   }
   RegisterAgent1();
@@ -265,9 +265,9 @@
   EXPECT_TRUE(fold_.agents().contains("agent-1"));
 }
 
-// As above, with a log that has forgotten its history: the drop is never read,
-// and what is read of the agent stands behind it.
-TEST_F(ForgottenAgentTest, DropThatIsNeverReadKeepsNobodyOut) {
+// As above, but the log has lost its history: the removal is never read, and
+// whatever is read of the agent comes after it.
+TEST_F(ForgottenAgentTest, RemovalThatIsNeverReadExcludesNoAgent) {
   ForgetAgent1();
   owner_.TakeBatch();
   owner_.OnBatchStored();
@@ -277,8 +277,9 @@
   EXPECT_GT(polls_["agent-1"], 0);
 }
 
-// The same with the drop under way: it may come behind what is read anew.
-TEST_F(ForgottenAgentTest, ReadingAnewDoesNotSettleADropUnderWay) {
+// As above, but the removal is still in flight, so that it may be stored behind
+// the records that are re-read.
+TEST_F(ForgottenAgentTest, RereadDoesNotCompleteARemovalInFlight) {
   ForgetAgent1();
   owner_.TakeBatch();
   owner_.OnReread();
@@ -287,8 +288,8 @@
   EXPECT_EQ(polls_["agent-1"], 0);
 }
 
-// Another writer drops the registration of an agent in use: it is written
-// again.
+// Another writer removes the registration of an agent in use; the owner writes
+// it again.
 TEST_F(ForgottenAgentTest, RegistrationOfAnAgentInUseIsRestored) {
   Begin();
   ReportAll();
@@ -299,9 +300,9 @@
   EXPECT_EQ(fold_.agents().at("agent-1").link_endpoint(), "agent-1");
 }
 
-// A job of before the claim may run on an agent that has not answered; one
-// accepted later cannot.
-TEST_F(JobOwnerTest, TasksOfBeforeTheClaimWaitForTheCensus) {
+// A job from before the claim may be running on an agent that has not answered;
+// a job accepted after the claim cannot.
+TEST_F(JobOwnerTest, TasksFromBeforeTheClaimWaitForReconciliation) {
   PutJob({Step(1)});
   PutClaim();
   Begin();
@@ -316,7 +317,7 @@
   EXPECT_EQ(Starts(), 1U);
 }
 
-struct CensusCase {
+struct ReconciliationCase {
   std::string name;
   // What agent 1 answers to the new owner; its worker cannot be listed.
   bool knows_worker = false;
@@ -324,16 +325,17 @@
   std::size_t starts = 0;
 };
 
-class CensusTest : public JobOwnerTest,
-                   public testing::WithParamInterface<CensusCase> {};
-
-// Symptom: tasks of before a takeover, also those that last, stay down for 20 s
-// with most of the cell free, and come up all at once. Sequence: a worker
-// leaves or crashes for good, its agent lives on; then the owner changes.
-// Cause: the census waited for a listing of each worker until leases of the
-// earlier owner must be over, although the agent, the only caller of its
-// worker, had answered that nothing runs there.
-TEST_P(CensusTest, TakesAWorkerOnWhichNothingRunsForListed) {
+class ReconciliationTest
+    : public JobOwnerTest,
+      public testing::WithParamInterface<ReconciliationCase> {};
+
+// Guards against tasks from before a takeover, long-running ones included, that
+// are not restarted for 20 s with most of the cell free, and then all at once.
+// A worker had left or crashed for good, its agent was still running, and the
+// owner changed. The reconciliation waited for a listing of that worker until
+// leases of the earlier owner had expired, although the agent, the only caller
+// of its worker, had answered that nothing runs there.
+TEST_P(ReconciliationTest, CountsAWorkerWithoutRunsAsListed) {
   PutJob({Step(1)});
   PutClaim();
   Begin();
@@ -350,19 +352,19 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    CensusTest,
-    testing::Values(CensusCase{"worker_has_left", false, true, 1},
-                    CensusCase{"lease_of_a_silent_worker_is_over", true, true,
-                               1},
-                    // What it may hold is not known.
-                    CensusCase{"silent_worker", true, false, 0},
-                    CensusCase{"agent_has_just_started", false, false, 0}),
+    ReconciliationTest,
+    testing::Values(
+        ReconciliationCase{"worker_has_left", false, true, 1},
+        ReconciliationCase{"lease_of_a_silent_worker_is_over", true, true, 1},
+        // The runs that it may hold are unknown.
+        ReconciliationCase{"silent_worker", true, false, 0},
+        ReconciliationCase{"agent_has_just_started", false, false, 0}),
     [](const auto& info) { return info.param.name; });
 
 struct GrantedByCase {
   std::string name;
-  // Of the owner that the log names as the last to grant to agent 1; zero if it
-  // names none.
+  // Fence of the last owner that granted to agent 1 according to the log; zero
+  // if the log names none.
   uint64_t fence = 0;
   seconds starts_after{0};
 };
@@ -370,10 +372,11 @@
 class GrantedByTest : public JobOwnerTest,
                       public testing::WithParamInterface<GrantedByCase> {};
 
-// Symptom: tasks that last stay down for 30 s with room for them. Sequence:
-// many workers leave for good; the owner is cut off, and 12 s later the next
-// one. Cause: the third owner waited for the agents that had left until grants
-// of the second could be over, although that one had never heard them.
+// Guards against long-running tasks that are not restarted for 30 s although
+// there is room. Many workers had left for good; the owner was cut off, and 12
+// s later the next one too. The third owner waited for the agents that had left
+// until grants of the second could have expired, although the second owner had
+// never received a report from them.
 TEST_P(GrantedByTest, WaitsForGrantsOfTheLastOwnerOfTheAgent) {
   PutJob({Step(1)});
   PutClaim();
@@ -381,12 +384,12 @@
     PutGrants("agent-1", GetParam().fence);
   }
   Begin();
-  const TimePoint begun = now_;
-  while (Starts() == 0 && now_ < begun + seconds(60)) {
+  const TimePoint started_at = now_;
+  while (Starts() == 0 && now_ < started_at + seconds(60)) {
     now_ += milliseconds(100);
     Report("agent-0", ReportOf("agent-0"));
   }
-  EXPECT_NEAR(std::chrono::duration<double>(now_ - begun).count(),
+  EXPECT_NEAR(std::chrono::duration<double>(now_ - started_at).count(),
               static_cast<double>(GetParam().starts_after.count()), 0.2);
 }
 
@@ -395,15 +398,15 @@
     GrantedByTest,
     testing::Values(GrantedByCase{"unknown", 0, seconds(20)},
                     GrantedByCase{"last_owner", kFence - 1, seconds(20)},
-                    GrantedByCase{"earlier_owner", kFence - 2, kEarlierGrants}),
+                    GrantedByCase{"earlier_owner", kFence - 2,
+                                  kEarlierGrantsDuration}),
     [](const auto& info) { return info.param.name; });
 
-// Symptom: a task runs in two places. Sequence: a start is ordered; its worker
-// falls silent before the call is answered; its lease runs out; the worker is
-// back, and its agent makes the call once more. Cause: the owner took a start
-// without a result for lost with the lease and started the task elsewhere. An
-// agent gives a result for each order in the end, and that alone says what
-// became of it.
+// Guards against a task that runs in two places. A worker becomes unresponsive
+// before it answers a start, its lease expires, the worker returns, and its
+// agent repeats the call. The owner declared a start without a result lost with
+// the lease and started the task elsewhere. An agent eventually gives a result
+// for each order, and only that result says what became of the start.
 TEST_F(JobOwnerTest, StartWithoutAResultIsNotLostWithTheWorkersLease) {
   PutJob({Step(1)});
   Begin();
@@ -427,23 +430,26 @@
   EXPECT_EQ(starts_[other].size(), 1U);
 }
 
-struct SilentAgentCase {
+struct UnresponsiveAgentCase {
   std::string name;
-  // The agent's last words are that its worker has left.
+  // The agent's last report says that its worker has left.
   bool left = false;
-  // A lease of 5 s with its margins and a second, or five polls and as much.
-  seconds dropped_within{0};
+  // The time of a lease of 5 s with its margins plus one second, or of five
+  // polls plus one second.
+  seconds removed_within{0};
 };
 
-class SilentAgentTest : public JobOwnerTest,
-                        public testing::WithParamInterface<SilentAgentCase> {};
-
-// Symptom: tasks that last stay down for 20 s with room for them. Sequence: a
-// worker and its agent are gone for good; some seconds later the owner is cut
-// off from the log, and another entry takes over. Cause: the agent still stood
-// in the log's roster, although nothing could run there any more, and the new
-// owner's census waited for it until leases of the owner before must be over.
-TEST_P(SilentAgentTest, LeavesTheRosterOnceNothingCanRunThere) {
+class UnresponsiveAgentTest
+    : public JobOwnerTest,
+      public testing::WithParamInterface<UnresponsiveAgentCase> {};
+
+// Guards against long-running tasks that are not restarted for 20 s although
+// there is room. A worker and its agent were gone for good; some seconds later
+// the owner was cut off from the log, and another entry took over. The agent
+// was still in the membership in the log, although nothing could run there any
+// more, so the new owner's reconciliation waited for it until leases of the
+// previous owner had expired.
+TEST_P(UnresponsiveAgentTest, IsRemovedOnceNothingCanRunThere) {
   Begin();
   ReportAll();
   if (GetParam().left) {
@@ -453,8 +459,8 @@
     left.set_worker_lapsed(true);
     Report("agent-1", left);
   }
-  const TimePoint silent_since = now_;
-  while (now_ < silent_since + GetParam().dropped_within) {
+  const TimePoint unresponsive_since = now_;
+  while (now_ < unresponsive_since + GetParam().removed_within) {
     now_ += milliseconds(100);
     Report("agent-0", ReportOf("agent-0"));
     StoreBatch();
@@ -465,57 +471,59 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    SilentAgentTest,
-    testing::Values(SilentAgentCase{"gone_without_a_word", false, seconds(7)},
-                    SilentAgentCase{"its_worker_has_left", true, seconds(3)}),
+    UnresponsiveAgentTest,
+    testing::Values(
+        UnresponsiveAgentCase{"gone_without_a_word", false, seconds(7)},
+        UnresponsiveAgentCase{"its_worker_has_left", true, seconds(3)}),
     [](const auto& info) { return info.param.name; });
 
-// Symptom: tasks of before a takeover stay down, and the log does not say for
-// whom their owner waits, or until when. Cause: a census left no line.
-TEST_F(JobOwnerTest, LogSaysForWhomACensusWaits) {
+// Guards against tasks from before a takeover that wait without a log line that
+// says which agents the reconciliation waits for, and for how long.
+TEST_F(JobOwnerTest, LogNamesTheAgentsThatReconciliationWaitsFor) {
   Begin();
   Report("agent-0", ReportOf("agent-0"));
-  const TimePoint begun = now_;
-  while (!owner_.reconciliation_done() && now_ < begun + seconds(60)) {
+  const TimePoint started_at = now_;
+  while (!owner_.reconciliation_done() && now_ < started_at + seconds(60)) {
     now_ += milliseconds(100);
     Report("agent-0", ReportOf("agent-0"));
   }
-  // Once after a second, then each 5 s of 20, and its end.
-  ASSERT_EQ(census_told_.size(), 5U);
-  EXPECT_EQ(census_told_.front().missing_names,
+  // One line after a second, one after every 5 s of the 20 s, and one at the
+  // end.
+  ASSERT_EQ(logged_reconciliations_.size(), 5U);
+  EXPECT_EQ(logged_reconciliations_.front().missing_names,
             std::vector<std::string>{"agent-1"});
-  EXPECT_EQ(census_told_.front().agents, 2U);
-  EXPECT_EQ(census_told_.front().waited, seconds(1));
-  EXPECT_EQ(census_told_.front().longest, seconds(19));
-  EXPECT_FALSE(census_told_.front().done);
-  EXPECT_TRUE(census_told_.back().done);
+  EXPECT_EQ(logged_reconciliations_.front().agents, 2U);
+  EXPECT_EQ(logged_reconciliations_.front().waited, seconds(1));
+  EXPECT_EQ(logged_reconciliations_.front().longest, seconds(19));
+  EXPECT_FALSE(logged_reconciliations_.front().done);
+  EXPECT_TRUE(logged_reconciliations_.back().done);
 }
 
-// An owner learns during its census that the one before grants nothing any
-// more. It still waits for the leases of that one, by their longest, and for
-// owners before that one as it did.
-TEST_F(JobOwnerTest, CensusIsShorterOnceTheOwnerBeforeHasResigned) {
+// The new owner is notified during its reconciliation that the previous owner
+// grants nothing any more. It still waits for the longest lease of that owner,
+// and for the owners before that one as long as otherwise.
+TEST_F(JobOwnerTest, ReconciliationIsShorterOnceThePreviousOwnerHasResigned) {
   PutJob({Step(1)});
   PutClaim();
   Begin();
-  const TimePoint begun = now_;
-  constexpr seconds kTold{2};
-  while (Starts() == 0 && now_ < begun + seconds(60)) {
+  const TimePoint started_at = now_;
+  constexpr seconds kResignationDelay{2};
+  while (Starts() == 0 && now_ < started_at + seconds(60)) {
     now_ += milliseconds(100);
-    if (now_ == begun + kTold) {
+    if (now_ == started_at + kResignationDelay) {
       owner_.OnEarlierGrants(now_, {now_ + JobOwnerOptions().LongestLease(),
-                                    begun + kEarlierGrants});
+                                    started_at + kEarlierGrantsDuration});
     }
     Report("agent-0", ReportOf("agent-0"));
   }
-  EXPECT_NEAR(std::chrono::duration<double>(now_ - begun).count(), 2.0 + 5.4,
-              0.2);
+  EXPECT_NEAR(std::chrono::duration<double>(now_ - started_at).count(),
+              2.0 + 5.4, 0.2);
 }
 
 struct LeftRecordCase {
   std::string name;
-  // Life that agent 1 has registered as left, and life for which the owner
-  // before has granted to it.
+  // Worker process of agent 1 that is registered as having left, and the one
+  // that the previous owner granted leases to.
   std::string left;
   std::string granted;
   bool waits = false;
@@ -524,12 +532,12 @@
 class LeftRecordTest : public JobOwnerTest,
                        public testing::WithParamInterface<LeftRecordCase> {};
 
-// Symptom: tasks that last stay down for 17 s with room for them. Sequence:
-// workers leave as planned, their agents tell the owner, and end; the owner
-// ends before it has dropped them from the roster. Cause: only that owner knew,
-// and the next one waited for the agents. The log says so now; it holds only
-// for the life that an owner granted to last.
-TEST_P(LeftRecordTest, EndsTheWaitOnlyForTheLifeThatWasGrantedTo) {
+// Guards against long-running tasks that are not restarted for 17 s although
+// there is room. Workers left as planned, their agents reported it and ended,
+// and the owner ended before it had removed them from the membership. Only that
+// owner knew, so the next one waited for the agents. The log now records it;
+// the record is valid only for the worker process that was last granted leases.
+TEST_P(LeftRecordTest, EndsTheWaitOnlyForTheProcessThatWasGrantedTo) {
   PutJob({Step(1)});
   PutClaim();
   if (!GetParam().granted.empty()) {
@@ -548,12 +556,12 @@
                     LeftRecordCase{"next_life_is_in_use", "life-1", "life-2",
                                    true},
                     LeftRecordCase{"has_not_left", "", "life-1", true},
-                    // Of a version that does not name the life.
+                    // From a version that does not name the worker process.
                     LeftRecordCase{"grants_name_no_life", "life-1", "", true}),
     [](const auto& info) { return info.param.name; });
 
-// The word in the log comes while the census waits.
-TEST_F(JobOwnerTest, WorkerThatLeavesDuringTheCensusEndsTheWait) {
+// The record that the worker has left is read during the reconciliation.
+TEST_F(JobOwnerTest, WorkerThatLeavesDuringReconciliationEndsTheWait) {
   PutJob({Step(1)});
   PutClaim();
   PutGrants("agent-1", kFence - 1, "life-1");
@@ -565,9 +573,9 @@
   EXPECT_EQ(Starts(), 1U);
 }
 
-// Symptom: tasks of a worker that has left stay down for the 5.4 s of a lease.
-// Sequence: the agent's last report does not reach its owner. Why not here: the
-// owner reads it in the log, too.
+// Guards against tasks of a worker that has left not being restarted for the
+// 5.4 s of a lease because the agent's last report does not reach its owner.
+// The owner reads it in the log, too.
 TEST_F(JobOwnerTest, WorkerThatLeftByTheLogLosesItsRuns) {
   PutJob({Step(1)});
   Begin();
@@ -579,34 +587,37 @@
   EXPECT_EQ(Starts(), 2U);
 }
 
-struct NextLifeCase {
+struct NextWorkerProcessCase {
   std::string name;
-  // Processes of the agent that report the two lives; zero if they do not say.
-  uint64_t first_process = 0;
-  uint64_t second_process = 0;
-  // Life that the second one knows to have left.
+  // Incarnations of the agent that report the two worker processes; zero if the
+  // agent does not report any.
+  uint64_t first_incarnation = 0;
+  uint64_t second_incarnation = 0;
+  // Worker process that the second incarnation reports as having left.
   std::string left;
   bool used_at_once = false;
 };
 
-class NextLifeTest : public JobOwnerTest,
-                     public testing::WithParamInterface<NextLifeCase> {};
+class NextWorkerProcessTest
+    : public JobOwnerTest,
+      public testing::WithParamInterface<NextWorkerProcessCase> {};
 
-// What goes wrong without: the log may say that the life before has left, and
-// that it is the one granted to. A next owner would take the agent for one at
-// which nothing runs, and start elsewhere what runs in the worker's next life.
-TEST_P(NextLifeTest, IsGrantedNothingBeforeTheLogNamesIt) {
+// Guards against tasks that run in two places. If the log still says that the
+// previous worker process has left and was the last one that was granted
+// leases, the next owner assumes that nothing runs at this agent, and starts
+// elsewhere what runs in the worker's next process.
+TEST_P(NextWorkerProcessTest, IsGrantedNothingBeforeTheLogNamesIt) {
   Begin();
   for (const char* agent : {"agent-0", "agent-1"}) {
     auto report = ReportOf(agent);
-    report.set_incarnation(GetParam().first_process);
+    report.set_incarnation(GetParam().first_incarnation);
     Report(agent, report);
   }
   ASSERT_TRUE(owner_.workers().at("agent-1")->grants_recorded);
   auto next = ReportOf("agent-1");
   next.set_worker_id("next-life");
   next.set_left_worker_id(GetParam().left);
-  next.set_incarnation(GetParam().second_process);
+  next.set_incarnation(GetParam().second_incarnation);
   EXPECT_TRUE(owner_.OnReport(now_, "agent-1", next));
   EXPECT_EQ(owner_.workers().at("agent-1")->grants_recorded,
             GetParam().used_at_once);
@@ -616,26 +627,30 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    NextLifeTest,
+    NextWorkerProcessTest,
     testing::Values(
-        NextLifeCase{"after_one_that_left", 1, 1, "life-of-agent-1", false},
-        NextLifeCase{"after_an_earlier_one_left", 1, 1, "life-0", false},
-        // It has written nothing of the life before, and there is no need to
-        // wait for a log that may be away.
-        NextLifeCase{"after_a_crash", 1, 1, "", true},
-        NextLifeCase{"told_by_another_process", 1, 2, "", false},
-        NextLifeCase{"told_by_processes_that_do_not_say", 0, 0, "", false}),
+        NextWorkerProcessCase{"after_one_that_left", 1, 1, "life-of-agent-1",
+                              false},
+        NextWorkerProcessCase{"after_an_earlier_one_left", 1, 1, "life-0",
+                              false},
+        // The agent has recorded nothing about the previous worker process, so
+        // there is no need to wait for a log that may be unavailable.
+        NextWorkerProcessCase{"after_a_crash", 1, 1, "", true},
+        NextWorkerProcessCase{"told_by_another_process", 1, 2, "", false},
+        NextWorkerProcessCase{"told_by_processes_that_do_not_say", 0, 0, "",
+                              false}),
     [](const auto& info) { return info.param.name; });
 
-// A note that was on its way when the next life came says nothing of it.
-TEST_F(JobOwnerTest, NoteOfTheLifeBeforeAllowsNoGrants) {
+// A record of grants that was in flight when the next worker process reported
+// does not cover that process.
+TEST_F(JobOwnerTest, RecordForThePreviousProcessAllowsNoGrants) {
   Begin();
   EXPECT_TRUE(owner_.OnReport(now_, "agent-1", ReportOf("agent-1")));
-  const auto under_way = owner_.TakeBatch();
+  const auto in_flight = owner_.TakeBatch();
   auto next = ReportOf("agent-1");
   next.set_worker_id("next-life");
   EXPECT_TRUE(owner_.OnReport(now_, "agent-1", next));
-  for (const auto& record : under_way) {
+  for (const auto& record : in_flight) {
     Put(record);
   }
   owner_.OnBatchStored();
@@ -644,9 +659,10 @@
   EXPECT_TRUE(owner_.workers().at("agent-1")->grants_recorded);
 }
 
-// What goes wrong without: a next owner takes an agent for one that this owner
-// has granted nothing, and starts elsewhere what runs there.
-TEST_F(JobOwnerTest, GrantsNothingBeforeTheLogSaysSo) {
+// Guards against tasks that run in two places: the next owner would assume that
+// this owner has granted nothing to the agent, and start elsewhere what runs
+// there.
+TEST_F(JobOwnerTest, GrantsNothingBeforeTheLogRecordsIt) {
   PutJob({Step(1)});
   Begin();
   for (const char* agent : {"agent-0", "agent-1"}) {
@@ -654,21 +670,21 @@
   }
   owner_.Tick(now_);
   EXPECT_EQ(Starts(), 0U);
-  EXPECT_EQ(granted_, 0);
+  EXPECT_EQ(leases_granted_, 0);
   StoreBatch();
   EXPECT_EQ(fold_.granted_by("agent-0"), kFence);
   EXPECT_EQ(fold_.granted_by("agent-1"), kFence);
   owner_.Tick(now_);
   EXPECT_EQ(Starts(), 1U);
-  EXPECT_EQ(granted_, 2);
+  EXPECT_EQ(leases_granted_, 2);
 }
 
-// Symptom: an agent keeps its lease long after its owner is gone, and tasks
-// started elsewhere run in two places. Sequence: an instance is started anew,
-// so that its clock begins at zero, and its worker's next life reports. Cause:
-// the owner echoed the highest time it had heard from the agent, now far ahead
-// of the agent's clock, as the beginning of the lease.
-TEST_F(JobOwnerTest, LeaseBeginsByTheClockOfTheWorkersPresentLife) {
+// Guards against an agent that keeps its lease long after its owner has ended,
+// so that tasks started elsewhere run in two places. An instance was restarted,
+// so that its clock began at zero, and its worker's next process reported. The
+// owner returned the highest time that it had received from the agent, now far
+// ahead of the agent's clock, as the start of the lease.
+TEST_F(JobOwnerTest, LeaseStartsByTheClockOfTheCurrentWorkerProcess) {
   Begin();
   ReportAll();
   auto old = ReportOf("agent-1");
@@ -681,9 +697,9 @@
   EXPECT_EQ(owner_.workers().at("agent-1")->reported_us, 1000U);
 }
 
-// Guards against an owner that runs late without a sign of it: leases that are
-// renewed late look like agents that are gone.
-TEST_F(JobOwnerTest, TellsHowLateItsPollsAre) {
+// Guards against an owner that runs late without reporting it: agents whose
+// leases are renewed late look like agents that are gone.
+TEST_F(JobOwnerTest, ReportsHowLateItsPollsAre) {
   Begin();
   ReportAll();
   now_ += milliseconds(300);
@@ -697,16 +713,16 @@
 struct FirstPollsCase {
   std::string name;
   int agents;
-  // In the owner's first second, of all agents together.
-  int least_polls;
-  int most_polls;
+  // Bounds of the polls of all agents together in the owner's first second.
+  int min_polls;
+  int max_polls;
 };
 
 class FirstPollsTest : public JobOwnerTest,
                        public testing::WithParamInterface<FirstPollsCase> {};
 
-// Guards against a new owner that has no processor left to make connections
-// with, since it polls all agents of a large cell again and again.
+// Guards against a new owner that repeatedly polls all agents of a large cell
+// and so leaves no processor time for making the connections.
 TEST_P(FirstPollsTest, AreBoundedForAllAgentsTogether) {
   for (int number = 2; number < GetParam().agents; ++number) {
     PutAgent("agent-" + std::to_string(number));
@@ -723,8 +739,8 @@
     polls += count;
   }
   EXPECT_EQ(polls_.size(), static_cast<std::size_t>(GetParam().agents));
-  EXPECT_GE(polls, GetParam().least_polls);
-  EXPECT_LE(polls, GetParam().most_polls);
+  EXPECT_GE(polls, GetParam().min_polls);
+  EXPECT_LE(polls, GetParam().max_polls);
 }
 
 INSTANTIATE_TEST_SUITE_P(Table,
@@ -735,12 +751,13 @@
                                                         1300}),
                          [](const auto& info) { return info.param.name; });
 
-// An owner that has heard agent 1 last at the begin of each test; what the log
-// takes from it then shows until when no other owner has followed.
+// An owner that receives the last report of agent 1 at the start of each test.
+// The appends that the log accepts afterwards show until when no other owner
+// has followed.
 class CutOffOwnerTest : public JobOwnerTest {
  protected:
-  // Agent 0 goes on reporting, and the log takes nothing.
-  auto RunInTheDark(Duration span) -> void {
+  // Agent 0 continues to report, and the log accepts nothing.
+  auto RunWithoutLog(Duration span) -> void {
     const TimePoint end = now_ + span;
     while (now_ < end) {
       now_ += milliseconds(100);
@@ -748,14 +765,15 @@
     }
   }
 
-  // The log has taken an append that was sent at `sent`.
-  auto ShowAloneUntil(TimePoint sent) -> void {
-    alone_until_ = sent;
+  // The log has accepted an append that was sent at `sent`.
+  auto ConfirmExclusiveUntil(TimePoint sent) -> void {
+    exclusive_until_ = sent;
     owner_.OnExclusiveUntil(now_);
     Report("agent-0", ReportOf("agent-0"));
   }
 
-  // One run on each agent, those of tasks of one step; the silence begins now.
+  // Starts four tasks of one step on each agent. Agent 1 stops reporting at the
+  // end.
   auto StartOnBoth() -> void {
     PutJob({Step(8)});
     Begin();
@@ -765,10 +783,10 @@
     for (const char* agent : {"agent-0", "agent-1"}) {
       Report(agent, Started(agent, 10));
     }
-    alone_until_ = now_;
+    exclusive_until_ = now_;
   }
 
-  // Runs on agent 0 end, so that there is room for others.
+  // Ends the runs on agent 0, so that there is room for others.
   auto EndRunsOfAgent0() -> void {
     auto report = ReportOf("agent-0");
     uint64_t number = 0;
@@ -785,23 +803,24 @@
 
 struct LostRunsCase {
   std::string name;
-  // From the last report of the agent to the newest append that the log took.
-  milliseconds alone_for{0};
+  // Time from the agent's last report to the newest append that the log
+  // accepted.
+  milliseconds exclusive_for{0};
   std::size_t starts = 4;
 };
 
 class LostRunsTest : public CutOffOwnerTest,
                      public testing::WithParamInterface<LostRunsCase> {};
 
-// Guards against runs of a silent agent being started elsewhere by an owner
-// whose successor may have renewed their lease.
-TEST_P(LostRunsTest, AreStartedElsewhereOnlyByAnOwnerThatWasAlone) {
+// Guards against runs of an unresponsive agent being started elsewhere by an
+// owner whose successor may have renewed their lease.
+TEST_P(LostRunsTest, AreStartedElsewhereOnlyByAnExclusiveOwner) {
   StartOnBoth();
-  const TimePoint silent_since = now_;
+  const TimePoint unresponsive_since = now_;
   EndRunsOfAgent0();
-  RunInTheDark(seconds(15));
+  RunWithoutLog(seconds(15));
   EXPECT_EQ(starts_["agent-0"].size(), 4U);
-  ShowAloneUntil(silent_since + GetParam().alone_for);
+  ConfirmExclusiveUntil(unresponsive_since + GetParam().exclusive_for);
   EXPECT_EQ(starts_["agent-0"].size(), GetParam().starts);
 }
 
@@ -815,12 +834,13 @@
                     LostRunsCase{"until_now", milliseconds(15000), 8}),
     [](const auto& info) { return info.param.name; });
 
-// Guards against an owner in the dark that doesn't believe an agent that says
-// that its worker's lease has run out, which needs no look at the log.
-TEST_F(CutOffOwnerTest, AgentsWordOfALapsedLeaseIsBelieved) {
+// Guards against an owner without access to the log that ignores an agent's
+// report that its worker's lease has expired; acting on that report requires no
+// read of the log.
+TEST_F(CutOffOwnerTest, AgentsReportOfALapsedLeaseIsAccepted) {
   StartOnBoth();
   EndRunsOfAgent0();
-  RunInTheDark(seconds(8));
+  RunWithoutLog(seconds(8));
   auto lapsed = ReportOf("agent-1");
   lapsed.set_complete(false);
   lapsed.set_worker_silent(true);
@@ -830,12 +850,13 @@
   EXPECT_EQ(starts_["agent-0"].size(), 8U);
 }
 
-// Guards against a run of an agent that is back after its lease being kept as
-// if it ran, since nothing was lost in the dark.
-TEST_F(CutOffOwnerTest, AgentThatIsBackSaysWhatHasLapsed) {
+// Guards against a run that is kept as running when its agent returns after its
+// lease has expired, since the owner declared nothing lost while the log was
+// unavailable.
+TEST_F(CutOffOwnerTest, ReturningAgentReportsLapsedRuns) {
   StartOnBoth();
   EndRunsOfAgent0();
-  RunInTheDark(seconds(8));
+  RunWithoutLog(seconds(8));
   auto back = ReportOf("agent-1");
   uint64_t number = 0;
   for (const auto& [order, start] : starts_["agent-1"]) {
@@ -846,61 +867,63 @@
     row->set_end(RUN_LEASE_LAPSED);
   }
   Report("agent-1", back);
-  RunInTheDark(seconds(1));
+  RunWithoutLog(seconds(1));
   EXPECT_EQ(starts_["agent-0"].size() + starts_["agent-1"].size(), 12U);
 }
 
-// Guards against tasks of before a claim being started by an owner whose
-// successor may have taken back their runs.
-TEST_F(CutOffOwnerTest, CensusEndsOnlyOnceTheOwnerWasAlone) {
+// Guards against tasks from before a claim being started by an owner whose
+// successor may have adopted their runs.
+TEST_F(CutOffOwnerTest, ReconciliationEndsOnlyOnceTheOwnerWasExclusive) {
   PutJob({Step(1)});
   PutClaim();
   Begin();
-  const TimePoint begun = now_;
-  alone_until_ = begun;
+  const TimePoint started_at = now_;
+  exclusive_until_ = started_at;
   Report("agent-0", ReportOf("agent-0"));
-  RunInTheDark(seconds(25));
+  RunWithoutLog(seconds(25));
   EXPECT_EQ(Starts(), 0U);
-  ShowAloneUntil(begun + milliseconds(19999));
+  ConfirmExclusiveUntil(started_at + milliseconds(19999));
   EXPECT_EQ(Starts(), 0U);
-  ShowAloneUntil(begun + seconds(20));
+  ConfirmExclusiveUntil(started_at + seconds(20));
   EXPECT_EQ(Starts(), 1U);
 }
 
-// Guards against the same once the owner before has resigned.
-TEST_F(CutOffOwnerTest, ShorterCensusEndsOnlyOnceTheOwnerWasAlone) {
+// As above, after the previous owner has resigned.
+TEST_F(CutOffOwnerTest, ShorterReconciliationEndsOnlyOnceTheOwnerWasExclusive) {
   PutJob({Step(1)});
   PutClaim();
   Begin();
-  alone_until_ = now_;
+  exclusive_until_ = now_;
   Report("agent-0", ReportOf("agent-0"));
   const TimePoint over = now_ + JobOwnerOptions().LongestLease();
   owner_.OnEarlierGrants(now_, {over, over});
-  RunInTheDark(seconds(10));
+  RunWithoutLog(seconds(10));
   EXPECT_EQ(Starts(), 0U);
-  ShowAloneUntil(over);
+  ConfirmExclusiveUntil(over);
   EXPECT_EQ(Starts(), 1U);
 }
 
-// Guards against a census that ends since its missing agents were forgotten.
-TEST_F(CutOffOwnerTest, SilentAgentIsForgottenOnlyOnceTheOwnerWasAlone) {
+// Guards against a reconciliation that ends because its missing agents were
+// forgotten.
+TEST_F(CutOffOwnerTest, UnresponsiveAgentIsForgottenOnlyByAnExclusiveOwner) {
   Begin();
   ReportAll();
-  alone_until_ = now_;
-  RunInTheDark(seconds(15));
+  exclusive_until_ = now_;
+  RunWithoutLog(seconds(15));
   EXPECT_TRUE(owner_.workers().contains("agent-1"));
-  ShowAloneUntil(now_);
+  ConfirmExclusiveUntil(now_);
   EXPECT_FALSE(owner_.workers().contains("agent-1"));
 }
 
-// Guards against an owner in the dark that keeps a task down although the only
-// agent that could hold it has said that it does not.
-TEST_F(CutOffOwnerTest, CensusOfAgentsThatAllAnswerNeedsNoLog) {
+// Guards against an owner without access to the log that does not restart a
+// task although the only agent that could hold it has reported that it does
+// not.
+TEST_F(CutOffOwnerTest, ReconciliationNeedsNoLogIfAllAgentsAnswer) {
   PutJob({Step(1)});
   PutClaim();
   Begin();
-  alone_until_ = now_;
-  RunInTheDark(seconds(3));
+  exclusive_until_ = now_;
+  RunWithoutLog(seconds(3));
   EXPECT_EQ(Starts(), 0U);
   Report("agent-1", ReportOf("agent-1"));
   EXPECT_EQ(Starts(), 1U);
--- a/Tests/Jobs/owner_election_test.cc
+++ b/Tests/Jobs/owner_election_test.cc
@@ -1,4 +1,5 @@
-// Who owns the cell, by the claims in the log and their silence.
+// Tests of who owns the cell, decided by the claims in the log and by the
+// absence of renewals.
 
 #include <gtest/gtest.h>
 
@@ -37,21 +38,21 @@
   std::string name;
   OwnerClaim newest;
   bool any = true;
-  // Since the newest claim was read, while the log was read all along.
-  milliseconds silence{0};
+  // Time since the newest claim was read; the log is readable throughout.
+  milliseconds time_without_renewal{0};
   bool claims = false;
 };
 
 class ClaimTest : public testing::TestWithParam<ClaimCase> {};
 
-TEST_P(ClaimTest, IsMadeWhenTheOwnerIsGone) {
+TEST_P(ClaimTest, IsMadeWhenTheOwnerDoesNotRenew) {
   OwnerElection election(Options("me"));
   TimePoint now = kStart;
   election.OnCaughtUp(now, now);
   if (GetParam().any) {
     election.OnClaimRead(now, GetParam().newest);
   }
-  const TimePoint end = now + GetParam().silence;
+  const TimePoint end = now + GetParam().time_without_renewal;
   while (now < end) {
     now += milliseconds(100);
     election.OnCaughtUp(now, now);
@@ -85,25 +86,25 @@
   std::string name;
   OwnerClaim before;
   milliseconds earlier_grants{0};
-  // The owner before may be alive and cut off.
-  bool goes_on = false;
-  // After the claim before was read; clocks differ.
+  // The previous owner may be alive and cut off.
+  bool may_be_alive = false;
+  // Time after the previous claim was read, with a margin for differing clocks.
   milliseconds before_last{0};
-  bool notes_grants = true;
+  bool records_grants = true;
 };
 
-// Symptom: tasks that last stay down for 20 s and more when an entry is started
-// anew again and again. Cause: each of its processes waited for the one before
-// it as for an owner that is only cut off and goes on.
+// Guards against long-running tasks that are not restarted for 20 s and more
+// when an entry is restarted repeatedly: each of its processes waited for its
+// predecessor as for an owner that is only cut off and continues to run.
 class GrantsTest : public testing::TestWithParam<GrantsCase> {};
 
-TEST_P(GrantsTest, SaysWhenEarlierOwnersAreSilent) {
+TEST_P(GrantsTest, ReportsWhenEarlierGrantsAreOver) {
   const auto& param = GetParam();
   auto options = Options("me");
   options.lease = kLease;
   OwnerElection election(options);
   auto before = param.before;
-  before.set_notes_grants(param.notes_grants);
+  before.set_notes_grants(param.records_grants);
   before.set_earlier_grants_ms(
       static_cast<uint64_t>(param.earlier_grants.count()));
   election.OnCaughtUp(kStart, kStart);
@@ -117,7 +118,7 @@
   }
   const auto& grants = election.earlier_grants();
   EXPECT_EQ(grants.last_owner,
-            param.goes_on ? kStart + kUnverified + kLease : now + kLease);
+            param.may_be_alive ? kStart + kUnverified + kLease : now + kLease);
   EXPECT_EQ(grants.before_last_owner, kStart + param.before_last);
   const auto longest = std::max(grants.last_owner, grants.before_last_owner);
   EXPECT_EQ(claim->earlier_grants_ms(),
@@ -137,10 +138,10 @@
                    milliseconds(20000), false, milliseconds(20400)},
         GrantsCase{"silent_after_another", ClaimOf("other", 3, false),
                    milliseconds(9000), true, milliseconds(9180)},
-        // Of another writer: no grant holds for an hour.
+        // From another writer: no grant is valid for an hour.
         GrantsCase{"absurd", ClaimOf("me", 3, false), milliseconds(3600000),
                    false, milliseconds(21420)},
-        // Of a version that does not say to whom it grants.
+        // From a version that does not record to whom it grants.
         GrantsCase{"silent_and_says_nothing", ClaimOf("other", 3, false),
                    milliseconds(0), true, kUnverified + kLease, false},
         GrantsCase{"own_predecessor_says_nothing", ClaimOf("me", 3, false),
@@ -156,11 +157,11 @@
 
 class ResignationTest : public testing::TestWithParam<ResignationCase> {};
 
-// Symptom: tasks of before a takeover stay down for 21.4 s, if a worker went
-// with the owner. Sequence: the owner loses power, another entry claims; the
-// first is back 4 s later. Cause: nobody told the new owner that the process
-// before is dead, and it waited as for an owner that is only cut off and goes
-// on.
+// Guards against tasks from before a takeover that are not restarted for 21.4 s
+// if a worker failed together with the owner. The owner loses power, another
+// entry claims the cell, and the first entry is back 4 s later. The new owner
+// was not notified that the previous process had ended, and waited as for an
+// owner that is only cut off and continues to run.
 TEST_P(ResignationTest, EndsTheWaitForTheOwnerThatWasReplaced) {
   auto options = Options("me");
   options.lease = kLease;
@@ -188,14 +189,14 @@
     testing::Values(ResignationCase{"of_that_claim", "other", 3, true},
                     ResignationCase{"after_it_read_the_new_claim", "other", 4,
                                     true},
-                    // It has claimed again since.
+                    // The entry has claimed again since.
                     ResignationCase{"of_an_earlier_claim", "other", 2, false},
                     ResignationCase{"of_another_entry", "third", 3, false}),
     [](const auto& info) { return info.param.name; });
 
-// Symptom: every entry claims the cell when the log is back after an outage.
-// Cause: nobody could renew while nobody could read.
-TEST(OwnerElectionTest, OutageOfTheLogIsNoSilenceOfTheOwner) {
+// Guards against all entries claiming the cell when the log is back after an
+// outage: no owner could renew its claim while the log was unavailable.
+TEST(OwnerElectionTest, OutageOfTheLogDoesNotCountAsMissingRenewals) {
   OwnerElection election(Options("me"));
   election.OnCaughtUp(kStart, kStart);
   election.OnClaimRead(kStart, ClaimOf("other", 3, false));
@@ -205,10 +206,10 @@
   EXPECT_FALSE(election.ClaimDue(back).has_value());
 }
 
-constexpr milliseconds kLook{100};
+constexpr milliseconds kReadInterval{100};
 
-// An election whose wait is the least one, whatever its name.
-auto PromptOptions() -> OwnerElectionOptions {
+// Options of an election with the shortest wait, whatever its name.
+auto ShortestWaitOptions() -> OwnerElectionOptions {
   auto options = Options("me");
   options.spread = milliseconds(1);
   return options;
@@ -216,82 +217,86 @@
 
 struct ReadsCase {
   std::string name;
-  // The renewal is read first; then reads are answered each 100 ms for so long,
-  // not for so long, and again for so long.
+  // The renewal is read first. Then reads every 100 ms are answered for
+  // `before`, not answered for `unavailable`, and answered again for `after`.
   milliseconds before{0};
-  milliseconds dark{0};
+  milliseconds unavailable{0};
   milliseconds after{0};
   bool claims = false;
 };
 
 class ReadsTest : public testing::TestWithParam<ReadsCase> {};
 
-// Guards against a living owner that is replaced, as reads of before a cut or
-// an outage of the log are taken to show its silence in it.
-TEST_P(ReadsTest, OnlyReadsThatWereAnsweredShowSilence) {
-  OwnerElection election(PromptOptions());
+// Guards against the replacement of a running owner because reads from before a
+// partition or an outage of the log are taken as evidence that the owner did
+// not renew during it.
+TEST_P(ReadsTest, OnlyAnsweredReadsShowMissingRenewals) {
+  OwnerElection election(ShortestWaitOptions());
   election.OnClaimRead(kStart, ClaimOf("other", 3, false));
   election.OnCaughtUp(kStart, kStart);
   TimePoint now = kStart;
   bool claimed = false;
-  const auto look = [&](milliseconds span, bool answered) -> void {
+  const auto read_for = [&](milliseconds span, bool answered) -> void {
     for (const TimePoint until = now + span; now < until;) {
-      now += kLook;
+      now += kReadInterval;
       if (answered) {
         election.OnCaughtUp(now, now);
       }
       claimed = claimed || election.ClaimDue(now).has_value();
     }
   };
-  look(GetParam().before, true);
-  look(GetParam().dark, false);
-  look(GetParam().after, true);
+  read_for(GetParam().before, true);
+  read_for(GetParam().unavailable, false);
+  read_for(GetParam().after, true);
   EXPECT_EQ(claimed, GetParam().claims);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
     ReadsTest,
-    testing::Values(
-        ReadsCase{"cut_off_soon_after_a_renewal", milliseconds(400),
-                  milliseconds(6000), milliseconds(0), false},
-        ReadsCase{"log_that_was_dark", milliseconds(400), milliseconds(4500),
-                  milliseconds(1000), false},
-        // Nobody could renew in the dark, but what was seen before it counts.
-        ReadsCase{"silent_before_the_dark_and_after", milliseconds(1000),
-                  milliseconds(4500), milliseconds(800), true},
-        ReadsCase{"silent", milliseconds(1800), milliseconds(0),
-                  milliseconds(0), true}),
+    testing::Values(ReadsCase{"cut_off_soon_after_a_renewal", milliseconds(400),
+                              milliseconds(6000), milliseconds(0), false},
+                    ReadsCase{"log_that_was_dark", milliseconds(400),
+                              milliseconds(4500), milliseconds(1000), false},
+                    // No owner could renew during the outage, but the time
+                    // observed before it counts.
+                    ReadsCase{"silent_before_the_dark_and_after",
+                              milliseconds(1000), milliseconds(4500),
+                              milliseconds(800), true},
+                    ReadsCase{"silent", milliseconds(1800), milliseconds(0),
+                              milliseconds(0), true}),
     [](const auto& info) { return info.param.name; });
 
-// A claim of `me` against a silent owner, at the time of the claim.
+// Returns an election of `me` that claims after an owner that did not renew,
+// and the time of the claim.
 auto Claimant() -> std::pair<OwnerElection, TimePoint> {
-  OwnerElection election(PromptOptions());
+  OwnerElection election(ShortestWaitOptions());
   election.OnClaimRead(kStart, ClaimOf("other", 3, false));
   TimePoint now = kStart;
   election.OnCaughtUp(now, now);
   while (!election.ClaimDue(now)) {
-    now += kLook;
+    now += kReadInterval;
     election.OnCaughtUp(now, now);
   }
   return {std::move(election), now};
 }
 
-// Guards against a claim that ends an owner which has been heard of since.
-TEST(OwnerElectionTest, RenewalTakesTheGroundsOfAClaim) {
+// Guards against a claim that replaces an owner which has renewed since.
+TEST(OwnerElectionTest, RenewalMakesAClaimUnjustified) {
   auto [election, now] = Claimant();
   EXPECT_FALSE(election.ClaimIsUnjustified(now));
   election.OnClaimRead(now, ClaimOf("other", 3, false));
   EXPECT_TRUE(election.ClaimIsUnjustified(now));
 }
 
-// Guards against a claim that is made in a cut and stored when that heals.
-TEST(OwnerElectionTest, ClaimHasNoGroundsOnceReadsAreNotAnswered) {
+// Guards against a claim that is made during a partition and stored when the
+// partition heals.
+TEST(OwnerElectionTest, ClaimIsUnjustifiedOnceReadsAreNotAnswered) {
   auto [election, now] = Claimant();
   EXPECT_TRUE(election.ClaimIsUnjustified(now + milliseconds(2000)));
 }
 
-TEST(OwnerElectionTest, StoredClaimNeedsNoGrounds) {
+TEST(OwnerElectionTest, StoredClaimIsNotUnjustified) {
   auto [election, now] = Claimant();
   election.OnClaimStored(now);
   EXPECT_FALSE(election.ClaimIsUnjustified(now + milliseconds(2000)));
@@ -299,18 +304,19 @@
 
 struct ReadWaitCase {
   std::string name;
-  milliseconds silent{0};
+  milliseconds without_renewal{0};
   milliseconds wait{0};
 };
 
 class ReadWaitTest : public testing::TestWithParam<ReadWaitCase> {};
 
-// Guards against an owner that is replaced a read's wait later than it could
-// be.
-TEST_P(ReadWaitTest, EndsWhenTheSilenceHasLasted) {
-  OwnerElection election(PromptOptions());
+// Guards against an owner that is replaced later than necessary by the wait of
+// one read.
+TEST_P(ReadWaitTest, EndsWhenTheClaimIsDue) {
+  OwnerElection election(ShortestWaitOptions());
   election.OnClaimRead(kStart, ClaimOf("other", 3, false));
-  for (milliseconds at{0}; at <= GetParam().silent; at += kLook) {
+  for (milliseconds at{0}; at <= GetParam().without_renewal;
+       at += kReadInterval) {
     election.OnCaughtUp(kStart + at, kStart + at);
   }
   EXPECT_EQ(election.ReadWait(seconds(1)), GetParam().wait);
@@ -326,20 +332,21 @@
                                  seconds(1)}),
     [](const auto& info) { return info.param.name; });
 
-struct LifeCase {
+struct LivenessCase {
   std::string name;
-  // Of the renewals that are read.
+  // Whether the renewals that are read have `reads_nothing` set.
   bool reads_nothing = false;
-  // Between the moment that an answer shows and its handling.
-  milliseconds answers_late{0};
+  // Time between the moment whose state an answer shows and its processing.
+  milliseconds answer_delay{0};
   bool claims = false;
 };
 
-class SignOfLifeTest : public testing::TestWithParam<LifeCase> {};
+class LivenessTest : public testing::TestWithParam<LivenessCase> {};
 
-// Guards against an owner that reads nothing and passes for alive, and against
-// one that is replaced since an answer of before a freeze was handled late.
-TEST_P(SignOfLifeTest, ShowsWhetherTheOwnerStillDecides) {
+// Guards against an owner that reads nothing but counts as running, and against
+// the replacement of an owner because an answer from before a freeze was
+// processed late.
+TEST_P(LivenessTest, DependsOnTheOwnersReadsAndTimelyAnswers) {
   OwnerElection election(Options("me"));
   auto claim = ClaimOf("other", 3, /*released=*/false);
   election.OnClaimRead(kStart, claim);
@@ -353,18 +360,19 @@
     election.OnCaughtUp(now, now);
   }
   const TimePoint shown = now + milliseconds(1450);
-  election.OnCaughtUp(shown + GetParam().answers_late, now);
-  now = shown + GetParam().answers_late;
+  election.OnCaughtUp(shown + GetParam().answer_delay, now);
+  now = shown + GetParam().answer_delay;
   election.OnCaughtUp(now, now);
   EXPECT_EQ(election.ClaimDue(now).has_value(), GetParam().claims);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    SignOfLifeTest,
-    testing::Values(LifeCase{"reads", false, milliseconds(0), false},
-                    LifeCase{"reads_nothing", true, milliseconds(0), true},
-                    LifeCase{"late_answer", false, milliseconds(700), false}),
+    LivenessTest,
+    testing::Values(LivenessCase{"reads", false, milliseconds(0), false},
+                    LivenessCase{"reads_nothing", true, milliseconds(0), true},
+                    LivenessCase{"late_answer", false, milliseconds(700),
+                                 false}),
     [](const auto& info) { return info.param.name; });
 
 TEST(OwnerElectionTest, OwnerThatCannotVerifyStopsInTime) {
@@ -381,11 +389,12 @@
   EXPECT_FALSE(election.owner(kStart + limit));
 }
 
-// Symptom: a task starts again after its end was noted. Sequence: an owner is
-// cut off; the next entry claims and stops as planned before it has read its
-// own claim; a third one takes over. Cause: the release said that no grants of
-// earlier owners hold, as the claim read last, the cut-off owner's, did.
-TEST(OwnerElectionTest, ReleaseTellsOfGrantsOfTheOwnerBefore) {
+// Guards against a task that starts again after its end was recorded. An owner
+// is cut off; the next entry claims and stops as planned before it has read its
+// own claim; a third one takes over. The release stated that no grants of
+// earlier owners are valid, since the last claim that was read, that of the
+// cut-off owner, stated so.
+TEST(OwnerElectionTest, ReleaseReportsGrantsOfThePreviousOwner) {
   auto options = Options("me");
   options.lease = kLease;
   OwnerElection election(options);
@@ -412,9 +421,10 @@
   EXPECT_FALSE(election.owner(kStart));
 }
 
-// Guards against an owner that takes the time of the log's answer, or of an
-// append without one, for the time until which nobody has followed it.
-TEST(AloneUntilTest, IsWhenTheNewestStoredAppendWasSent) {
+// Guards against an owner that uses the time of the log's answer, or of an
+// append without an answer, as the time until which no other owner has followed
+// it.
+TEST(ExclusiveUntilTest, IsWhenTheNewestStoredAppendWasSent) {
   OwnerElection election(Options("me"));
   election.OnCaughtUp(kStart, kStart);
   ASSERT_TRUE(election.ClaimDue(kStart));
--- a/Tests/Jobs/owner_log_test.cc
+++ b/Tests/Jobs/owner_log_test.cc
@@ -1,4 +1,4 @@
-// How many lines the owner writes when much happens at once.
+// Tests of how many log lines the owner writes when much happens at once.
 
 #include <gtest/gtest.h>
 
@@ -11,11 +11,11 @@
 namespace rhubarbhaven::jobs {
 namespace {
 
-constexpr int kWorkers = 10;
-constexpr uint32_t kRunsOfAWorker = 50;
-constexpr uint32_t kRuns = kWorkers * kRunsOfAWorker;
-constexpr uint32_t kMillicoresOfARun = 1000;
-constexpr std::size_t kMostTasksOfALine = 20;
+constexpr int kWorkerCount = 10;
+constexpr uint32_t kRunsPerWorker = 50;
+constexpr uint32_t kRunCount = kWorkerCount * kRunsPerWorker;
+constexpr uint32_t kMillicoresPerRun = 1000;
+constexpr std::size_t kMaxTasksPerLine = 20;
 // Longer than a lease with its margin.
 constexpr seconds kPastTheLease{7};
 
@@ -25,35 +25,36 @@
     return "agent-" + std::to_string(worker);
   }
 
-  static auto RoomFor(AgentReport report, uint32_t runs) -> AgentReport {
-    report.mutable_capacity()->set_millicores(runs * kMillicoresOfARun);
+  static auto WithCapacityFor(AgentReport report, uint32_t runs)
+      -> AgentReport {
+    report.mutable_capacity()->set_millicores(runs * kMillicoresPerRun);
     return report;
   }
 
-  // One job, whose tasks fill all workers.
+  // Stores one job whose tasks fill all workers.
   auto FillWorkers() -> void {
-    for (int worker = 0; worker < kWorkers; ++worker) {
+    for (int worker = 0; worker < kWorkerCount; ++worker) {
       PutAgent(AgentName(worker));
     }
-    PutJob({Step(kRuns)});
+    PutJob({Step(kRunCount)});
     Begin();
-    for (int worker = 0; worker < kWorkers; ++worker) {
+    for (int worker = 0; worker < kWorkerCount; ++worker) {
       Report(AgentName(worker),
-             RoomFor(ReportOf(AgentName(worker)), kRunsOfAWorker));
+             WithCapacityFor(ReportOf(AgentName(worker)), kRunsPerWorker));
     }
-    for (uint32_t turn = 0; turn < kRuns && Starts() < kRuns; ++turn) {
+    for (uint32_t tick = 0; tick < kRunCount && Starts() < kRunCount; ++tick) {
       owner_.Tick(now_);
     }
-    ASSERT_EQ(Starts(), kRuns);
-    for (int worker = 0; worker < kWorkers; ++worker) {
+    ASSERT_EQ(Starts(), kRunCount);
+    for (int worker = 0; worker < kWorkerCount; ++worker) {
       Report(AgentName(worker),
-             RoomFor(Started(AgentName(worker), 1), kRunsOfAWorker));
+             WithCapacityFor(Started(AgentName(worker), 1), kRunsPerWorker));
     }
     decisions_.clear();
   }
 
   auto Crash(const std::string& agent) -> void {
-    auto report = RoomFor(ReportOf(agent), 0);
+    auto report = WithCapacityFor(ReportOf(agent), 0);
     report.set_worker_id("next-life-of-" + agent);
     Report(agent, report);
   }
@@ -77,16 +78,16 @@
   }
 };
 
-// Guards against a line for each run: the log's rate leaves them out just when
-// many workers are lost at once.
-TEST_F(OwnerLogTest, OneLineForAWorkerThatIsLostAndItsCause) {
-  constexpr int kCrashed = 4;
-  constexpr int kLeft = 3;
+// Guards against a line for each run: the log's rate limit would suppress such
+// lines precisely when many workers are lost at once.
+TEST_F(OwnerLogTest, OneLineForEachLostWorkerWithItsCause) {
+  constexpr int kCrashCount = 4;
+  constexpr int kLeaveCount = 3;
   FillWorkers();
-  for (int worker = 0; worker < kCrashed; ++worker) {
+  for (int worker = 0; worker < kCrashCount; ++worker) {
     Crash(AgentName(worker));
   }
-  for (int worker = kCrashed; worker < kCrashed + kLeft; ++worker) {
+  for (int worker = kCrashCount; worker < kCrashCount + kLeaveCount; ++worker) {
     LeaveAsPlanned(AgentName(worker));
   }
   now_ += kPastTheLease;
@@ -95,33 +96,33 @@
   std::size_t runs = 0;
   for (const auto& line : Lines("lost")) {
     EXPECT_TRUE(causes.emplace(line.agent, line.why).second) << line.agent;
-    EXPECT_EQ(line.some_tasks.size(), kMostTasksOfALine);
+    EXPECT_EQ(line.some_tasks.size(), kMaxTasksPerLine);
     runs += line.runs;
   }
-  EXPECT_EQ(runs, kRuns);
-  ASSERT_EQ(causes.size(), std::size_t{kWorkers});
+  EXPECT_EQ(runs, kRunCount);
+  ASSERT_EQ(causes.size(), std::size_t{kWorkerCount});
   EXPECT_EQ(causes.at(AgentName(0)), "its worker has crashed");
-  EXPECT_EQ(causes.at(AgentName(kCrashed)), "its worker has left");
-  EXPECT_EQ(causes.at(AgentName(kWorkers - 1)),
+  EXPECT_EQ(causes.at(AgentName(kCrashCount)), "its worker has left");
+  EXPECT_EQ(causes.at(AgentName(kWorkerCount - 1)),
             "its agent does not answer and the lease has expired");
 }
 
 // Guards against a line for each run of a large job that is cancelled, and
-// against stops that are left out of the line.
+// against stops that are missing from the line.
 TEST_F(OwnerLogTest, OneLineForTheStopsOfACancelledJob) {
   FillWorkers();
-  Put(MakeCancellation(kId));
+  Put(MakeCancellation(kJobId));
   owner_.Tick(now_);
   std::size_t stops = 0;
   for (const auto& [agent, orders] : stops_) {
     stops += orders.size();
   }
-  EXPECT_EQ(stops, kRuns);
+  EXPECT_EQ(stops, kRunCount);
   const auto lines = Lines("stop");
   ASSERT_EQ(lines.size(), 1U);
-  EXPECT_EQ(lines.front().runs, kRuns);
+  EXPECT_EQ(lines.front().runs, kRunCount);
   EXPECT_EQ(lines.front().why, "its job was cancelled");
-  EXPECT_EQ(lines.front().some_tasks.size(), kMostTasksOfALine);
+  EXPECT_EQ(lines.front().some_tasks.size(), kMaxTasksPerLine);
 }
 
 // Guards against lines about one run that no longer name it.
@@ -134,7 +135,7 @@
   const auto lines = Lines("lost");
   ASSERT_EQ(lines.size(), 1U);
   EXPECT_EQ(lines.front().runs, 1U);
-  EXPECT_EQ(lines.front().task.job(), kId);
+  EXPECT_EQ(lines.front().task.job(), kJobId);
   EXPECT_NE(lines.front().run, 0U);
   EXPECT_TRUE(lines.front().some_tasks.empty());
 }
--- a/Tests/Jobs/owner_standing_test.cc
+++ b/Tests/Jobs/owner_standing_test.cc
@@ -1,4 +1,5 @@
-// What an owner tells of jobs that have nothing running although they could.
+// Tests of what an owner logs about starved jobs: jobs of which nothing runs
+// although a step is ready.
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
@@ -14,17 +15,18 @@
 
 using testing::SizeIs;
 
-constexpr milliseconds kRound{100};
+constexpr milliseconds kReportInterval{100};
 
-class OwnerStandingTest : public JobOwnerTest {
+class StarvedJobsTest : public JobOwnerTest {
  protected:
-  // Reports of these agents over time, with what `change` makes of them.
-  auto PlayFor(
+  // Sends reports of these agents for `span`; `change` modifies each report.
+  auto SendReportsFor(
       Duration span,
       const std::vector<std::string>& agents,
       const std::function<auto(const std::string&, AgentReport*)->void>& change)
       -> void {
-    for (const TimePoint end = now_ + span; now_ < end; now_ += kRound) {
+    for (const TimePoint end = now_ + span; now_ < end;
+         now_ += kReportInterval) {
       for (const auto& agent : agents) {
         auto report = ReportOf(agent);
         change(agent, &report);
@@ -33,8 +35,8 @@
     }
   }
 
-  // The agent refuses all starts that it has not answered yet.
-  auto RefuseStarts(const std::string& agent, AgentReport* report) -> void {
+  // Adds a rejection of each start that the agent has not answered yet.
+  auto RejectStarts(const std::string& agent, AgentReport* report) -> void {
     for (const auto& [number, start] : starts_[agent]) {
       auto* result = report->add_results();
       result->set_order(number);
@@ -44,7 +46,7 @@
   }
 };
 
-struct StandingCase {
+struct StarvedCase {
   std::string name;
   std::string why;
   std::vector<std::string> agents = {"agent-0", "agent-1"};
@@ -52,17 +54,17 @@
   bool needs_ticket = false;
   bool has_rules = true;
   bool draining = false;
-  bool silent = false;
-  bool refuses = false;
+  bool unresponsive = false;
+  bool rejects = false;
   uint32_t millicores = 1000;
   const char* label = "";
 };
 
-class WhyItStandsTest : public OwnerStandingTest,
-                        public testing::WithParamInterface<StandingCase> {};
+class StarvationReasonTest : public StarvedJobsTest,
+                             public testing::WithParamInterface<StarvedCase> {};
 
-// Guards against a job that stands without a line that says why.
-TEST_P(WhyItStandsTest, IsTold) {
+// Guards against a starved job without a log line that gives the reason.
+TEST_P(StarvationReasonTest, IsLogged) {
   const auto& param = GetParam();
   rules_.set_needs_ticket(param.needs_ticket);
   if (!param.has_rules) {
@@ -79,55 +81,55 @@
     Begin();
     PutJob({step});
   }
-  PlayFor(milliseconds(3200), param.agents,
-          [this, &param](const std::string& agent, AgentReport* report) {
-            report->set_draining(param.draining);
-            report->set_worker_silent(param.silent);
-            if (param.refuses) {
-              RefuseStarts(agent, report);
-            }
-          });
-  ASSERT_THAT(standing_told_, SizeIs(1));
-  const auto& told = standing_told_.front();
-  EXPECT_EQ(told.why, param.why);
-  EXPECT_EQ(told.task.job(), kId);
-  EXPECT_GE(told.waited, seconds(2));
-  EXPECT_LE(told.waited, milliseconds(2400));
-  EXPECT_EQ(standing_jobs_, 1U);
+  SendReportsFor(milliseconds(3200), param.agents,
+                 [this, &param](const std::string& agent, AgentReport* report) {
+                   report->set_draining(param.draining);
+                   report->set_worker_silent(param.unresponsive);
+                   if (param.rejects) {
+                     RejectStarts(agent, report);
+                   }
+                 });
+  ASSERT_THAT(logged_starved_jobs_, SizeIs(1));
+  const auto& logged = logged_starved_jobs_.front();
+  EXPECT_EQ(logged.why, param.why);
+  EXPECT_EQ(logged.task.job(), kJobId);
+  EXPECT_GE(logged.waited, seconds(2));
+  EXPECT_LE(logged.waited, milliseconds(2400));
+  EXPECT_EQ(starved_jobs_, 1U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    WhyItStandsTest,
+    StarvationReasonTest,
     testing::Values(
-        StandingCase{
+        StarvedCase{
             .name = "census",
             .why = "uncertain, reconciliation waits for 1 of 2 agents: agent-1",
             .agents = {"agent-0"},
             .before_claim = true},
-        StandingCase{.name = "no_ticket",
-                     .why = "no ticket 2",
-                     .needs_ticket = true},
-        StandingCase{.name = "no_rules",
-                     .why = "its queue has no rules",
-                     .has_rules = false},
-        StandingCase{.name = "draining", .why = "draining 2", .draining = true},
-        StandingCase{.name = "silent", .why = "silent 2", .silent = true},
-        StandingCase{.name = "no_room", .why = "no room 2", .millicores = 5000},
-        StandingCase{.name = "no_label",
-                     .why = "no label 2",
-                     .label = "accelerator"},
-        StandingCase{.name = "starts_refused",
-                     .why = "quarantined 2",
-                     .refuses = true},
-        StandingCase{.name = "not_heard",
-                     .why = "not reporting 1, no room 1",
-                     .agents = {"agent-0"},
-                     .millicores = 5000}),
+        StarvedCase{.name = "no_ticket",
+                    .why = "no ticket 2",
+                    .needs_ticket = true},
+        StarvedCase{.name = "no_rules",
+                    .why = "its queue has no rules",
+                    .has_rules = false},
+        StarvedCase{.name = "draining", .why = "draining 2", .draining = true},
+        StarvedCase{.name = "silent", .why = "silent 2", .unresponsive = true},
+        StarvedCase{.name = "no_room", .why = "no room 2", .millicores = 5000},
+        StarvedCase{.name = "no_label",
+                    .why = "no label 2",
+                    .label = "accelerator"},
+        StarvedCase{.name = "starts_refused",
+                    .why = "quarantined 2",
+                    .rejects = true},
+        StarvedCase{.name = "not_heard",
+                    .why = "not reporting 1, no room 1",
+                    .agents = {"agent-0"},
+                    .millicores = 5000}),
     [](const auto& info) { return info.param.name; });
 
-// Guards against a log that is full of jobs that stand.
-TEST_F(OwnerStandingTest, EachIsToldAgainAndNotTooMany) {
+// Guards against a log that is flooded with lines about starved jobs.
+TEST_F(StarvedJobsTest, EachIsLoggedRepeatedlyAndNotTooManyAtOnce) {
   constexpr int kJobs = 8;
   Begin();
   for (int number = 0; number < kJobs; ++number) {
@@ -138,63 +140,63 @@
     Put(MakeRecord(RecordKind::kJob, job.id(), job));
   }
   const auto nothing = [](const std::string&, AgentReport*) {};
-  PlayFor(milliseconds(2400), {"agent-0"}, nothing);
-  EXPECT_THAT(standing_told_, SizeIs(5));
-  EXPECT_EQ(standing_jobs_, kJobs);
-  PlayFor(milliseconds(3000), {"agent-0"}, nothing);
-  EXPECT_THAT(standing_told_, SizeIs(kJobs));
-  PlayFor(milliseconds(5000), {"agent-0"}, nothing);
-  EXPECT_THAT(standing_told_, SizeIs(2 * kJobs));
+  SendReportsFor(milliseconds(2400), {"agent-0"}, nothing);
+  EXPECT_THAT(logged_starved_jobs_, SizeIs(5));
+  EXPECT_EQ(starved_jobs_, kJobs);
+  SendReportsFor(milliseconds(3000), {"agent-0"}, nothing);
+  EXPECT_THAT(logged_starved_jobs_, SizeIs(kJobs));
+  SendReportsFor(milliseconds(5000), {"agent-0"}, nothing);
+  EXPECT_THAT(logged_starved_jobs_, SizeIs(2 * kJobs));
 }
 
-// Guards against a count of jobs that stand which stays after they run, or
-// after their owner has ended.
-TEST_F(OwnerStandingTest, CountFallsOnceTheyRun) {
+// Guards against a count of starved jobs that remains after they run or after
+// their owner has ended.
+TEST_F(StarvedJobsTest, CountFallsOnceTheyRun) {
   Begin();
   PutJob({Step(1)});
   const auto drains = [](const std::string&, AgentReport* report) {
     report->set_draining(true);
   };
-  PlayFor(milliseconds(2600), {"agent-0"}, drains);
-  EXPECT_EQ(standing_jobs_, 1U);
-  PlayFor(milliseconds(500), {"agent-0"},
-          [this](const std::string& agent, AgentReport* report) {
-            *report = Started(agent, 1);
-          });
+  SendReportsFor(milliseconds(2600), {"agent-0"}, drains);
+  EXPECT_EQ(starved_jobs_, 1U);
+  SendReportsFor(milliseconds(500), {"agent-0"},
+                 [this](const std::string& agent, AgentReport* report) {
+                   *report = Started(agent, 1);
+                 });
   EXPECT_EQ(Starts(), 1U);
-  EXPECT_EQ(standing_jobs_, 0U);
+  EXPECT_EQ(starved_jobs_, 0U);
 }
 
-TEST_F(OwnerStandingTest, CountFallsWithTheEndOfItsOwner) {
+TEST_F(StarvedJobsTest, CountFallsWithTheEndOfItsOwner) {
   Begin();
   PutJob({Step(1)});
-  PlayFor(milliseconds(2600), {"agent-0"},
-          [](const std::string&, AgentReport* report) {
-            report->set_draining(true);
-          });
-  EXPECT_EQ(standing_jobs_, 1U);
+  SendReportsFor(milliseconds(2600), {"agent-0"},
+                 [](const std::string&, AgentReport* report) {
+                   report->set_draining(true);
+                 });
+  EXPECT_EQ(starved_jobs_, 1U);
   owner_.End();
-  EXPECT_EQ(standing_jobs_, 0U);
+  EXPECT_EQ(starved_jobs_, 0U);
 }
 
-struct RefusedFillerCase {
+struct RejectedOpportunisticCase {
   std::string name;
-  // What was learned of the filler's image.
+  // Pressure learned for the opportunistic task's image.
   double pressure = 1;
-  // Of what serves, against its target of 100 ms.
+  // Latency of the serving tasks, whose target is 100 ms.
   uint32_t latency_ms = 20;
   uint32_t millicores = 1000;
   bool gang = false;
   std::size_t starts = 1;
 };
 
-// A job that fills beside runs that serve, one on each worker.
-class RefusedFillerTest
-    : public OwnerStandingTest,
-      public testing::WithParamInterface<RefusedFillerCase> {
+// An opportunistic job beside serving runs, one on each worker.
+class RejectedOpportunisticJobTest
+    : public StarvedJobsTest,
+      public testing::WithParamInterface<RejectedOpportunisticCase> {
  protected:
   static constexpr char kServing[] = "0000000000000001";
-  static constexpr char kFilling[] = "0000000000000002";
+  static constexpr char kOpportunistic[] = "0000000000000002";
 
   auto PutOneStep(const std::string& id, const JobStep& step) -> void {
     Job job;
@@ -212,41 +214,43 @@
     PutOneStep(kServing, step);
   }
 
-  auto PutFilling() -> void {
+  auto PutOpportunistic() -> void {
     const auto& param = GetParam();
     auto step = Step(2);
     step.mutable_need()->set_millicores(param.millicores);
     step.set_uses_spare_processors(true);
     step.set_gang(param.gang);
     step.set_image("filler");
-    PutOneStep(kFilling, step);
+    PutOneStep(kOpportunistic, step);
   }
 
-  auto Play(Duration span) -> void {
-    PlayFor(span, {"agent-0", "agent-1"},
-            [this](const std::string& agent, AgentReport* report) {
-              *report = Started(agent, 0);
-              for (auto& row : *report->mutable_running()) {
-                row.set_load(
-                    row.task().job() == kServing ? GetParam().latency_ms : 0);
-              }
-            });
+  auto RunFor(Duration span) -> void {
+    SendReportsFor(span, {"agent-0", "agent-1"},
+                   [this](const std::string& agent, AgentReport* report) {
+                     *report = Started(agent, 0);
+                     for (auto& row : *report->mutable_running()) {
+                       row.set_load(row.task().job() == kServing
+                                        ? GetParam().latency_ms
+                                        : 0);
+                     }
+                   });
   }
 
-  auto FillerStarts() const -> std::size_t {
+  auto OpportunisticStarts() const -> std::size_t {
     std::size_t count = 0;
     for (const auto& [agent, starts] : starts_) {
       for (const auto& [number, start] : starts) {
-        count += start.task().job() == kFilling ? 1 : 0;
+        count += start.task().job() == kOpportunistic ? 1 : 0;
       }
     }
     return count;
   }
 };
 
-// Guards against a job that fills and never starts, as what was learned of its
-// image, or what serves everywhere, speaks against it on each worker.
-TEST_P(RefusedFillerTest, StartsOneTaskAllTheSame) {
+// Guards against an opportunistic job that never starts because the pressure
+// learned for its image, or the load of the serving tasks, rules out each
+// worker.
+TEST_P(RejectedOpportunisticJobTest, StartsOneTaskNevertheless) {
   LearnedPressures learned;
   auto* pressure = learned.add_pressures();
   pressure->set_serving_image("web");
@@ -255,38 +259,40 @@
   Put(MakeRecord(RecordKind::kPressures, "", learned));
   Begin();
   PutServing();
-  Play(seconds(1));
+  RunFor(seconds(1));
   ASSERT_EQ(Starts(), 2U);
-  PutFilling();
-  Play(milliseconds(1300));
-  EXPECT_EQ(FillerStarts(), 0U);
+  PutOpportunistic();
+  RunFor(milliseconds(1300));
+  EXPECT_EQ(OpportunisticStarts(), 0U);
   EXPECT_THAT(owner_.FindIndexErrors(now_), testing::IsEmpty());
-  Play(milliseconds(1200));
-  EXPECT_EQ(FillerStarts(), GetParam().starts) << "within 2.5 s";
+  RunFor(milliseconds(1200));
+  EXPECT_EQ(OpportunisticStarts(), GetParam().starts) << "within 2.5 s";
   EXPECT_THAT(owner_.FindIndexErrors(now_), testing::IsEmpty());
-  // The others go on keeping away.
-  Play(seconds(8));
-  EXPECT_EQ(FillerStarts(), GetParam().starts);
+  // The other tasks still do not start.
+  RunFor(seconds(8));
+  EXPECT_EQ(OpportunisticStarts(), GetParam().starts);
   EXPECT_THAT(owner_.FindIndexErrors(now_), testing::IsEmpty());
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    RefusedFillerTest,
+    RejectedOpportunisticJobTest,
     testing::Values(
-        RefusedFillerCase{.name = "learned_pressure_is_huge", .pressure = 1000},
-        RefusedFillerCase{.name = "serving_near_the_target", .latency_ms = 99},
-        RefusedFillerCase{.name = "few_processors_are_unused",
-                          .millicores = 4000},
-        RefusedFillerCase{.name = "gang",
-                          .pressure = 1000,
-                          .gang = true,
-                          .starts = 2}),
+        RejectedOpportunisticCase{.name = "learned_pressure_is_huge",
+                                  .pressure = 1000},
+        RejectedOpportunisticCase{.name = "serving_near_the_target",
+                                  .latency_ms = 99},
+        RejectedOpportunisticCase{.name = "few_processors_are_unused",
+                                  .millicores = 4000},
+        RejectedOpportunisticCase{.name = "gang",
+                                  .pressure = 1000,
+                                  .gang = true,
+                                  .starts = 2}),
     [](const auto& info) { return info.param.name; });
 
-// Guards against a small filler that never starts, as a larger one of its image
-// is refused.
-TEST_F(OwnerStandingTest, FillersOfOneImageAreRefusedEachByItsOwnNeed) {
+// Guards against a small opportunistic task that never starts because a larger
+// one of the same image is rejected.
+TEST_F(StarvedJobsTest, TasksOfOneImageAreRejectedEachByItsOwnNeed) {
   Begin();
   auto held = Step(2);
   held.set_long_running(true);
@@ -307,15 +313,15 @@
   EXPECT_EQ(Starts(), 3U);
 }
 
-// Guards against a gang that stands for good after two crashes, as each worker
-// has run a suspect since it was asked: nothing told that it waits no longer
-// for workers of its own.
-TEST_F(OwnerStandingTest, GangOnItsLastTryWaitsForWorkersOfItsOwnNotForLong) {
+// Guards against a gang that is starved forever after two crashes because each
+// worker has run a suspected task since the gang was last tried: nothing
+// triggered a new scan when the gang no longer waited for workers of its own.
+TEST_F(StarvedJobsTest, GangOnItsLastAttemptWaitsBrieflyForWorkersOfItsOwn) {
   constexpr char kGang[] = "0000000000000001";
-  auto lasting = Step(2);
-  lasting.set_long_running(true);
-  lasting.set_max_per_worker(1);
-  PutJob({lasting});
+  auto long_running = Step(2);
+  long_running.set_long_running(true);
+  long_running.set_max_per_worker(1);
+  PutJob({long_running});
   Begin();
   auto crashed = ReportOf("agent-0");
   const auto add = [&crashed](const std::string& job, uint32_t index,
@@ -327,8 +333,8 @@
     row->set_worker_id("earlier-life-" + std::to_string(run));
     row->set_number(static_cast<uint64_t>(crashed.crashed_size()));
   };
-  add(kId, 0, 1);
-  add(kId, 1, 1);
+  add(kJobId, 0, 1);
+  add(kJobId, 1, 1);
   Report("agent-0", crashed);
   Report("agent-1", ReportOf("agent-1"));
   ASSERT_EQ(Starts(), 2U);
@@ -340,11 +346,12 @@
   add(kGang, 0, 2);
   add(kGang, 0, 3);
   Report("agent-0", crashed);
-  // Starts have no answer, so that no suspect is known to be sound.
+  // The starts are not answered, so no suspected task is known to run without a
+  // crash.
   const auto nothing = [](const std::string&, AgentReport*) {};
-  PlayFor(milliseconds(1000), {"agent-0", "agent-1"}, nothing);
+  SendReportsFor(milliseconds(1000), {"agent-0", "agent-1"}, nothing);
   ASSERT_EQ(Starts(), 2U);
-  PlayFor(milliseconds(1000), {"agent-0", "agent-1"}, nothing);
+  SendReportsFor(milliseconds(1000), {"agent-0", "agent-1"}, nothing);
   EXPECT_EQ(Starts(), 4U);
 }
 
--- a/Tests/Jobs/pacing_test.cc
+++ b/Tests/Jobs/pacing_test.cc
@@ -1,5 +1,5 @@
-// How fillers are slowed for the runs that they disturb, and what is learned
-// about who disturbs whom.
+// Tests of how opportunistic tasks are throttled for the runs that they slow
+// down, and of what is learned about which image slows down which.
 
 #include <gtest/gtest.h>
 
@@ -16,23 +16,24 @@
 
 constexpr uint32_t kCapacity = 16000;
 constexpr uint64_t kServing = 1;
-// Time between two looks at a worker.
-constexpr std::chrono::milliseconds kLook{500};
+// Time between two listings of a worker.
+constexpr std::chrono::milliseconds kListingInterval{500};
 
-// What a worker tells of a latency: it follows with half a second's delay, as
-// seen after all fillers of a worker were stopped at once.
-class ToldLatency {
+// Simulates the latency that a worker reports: it lags the real one by half a
+// second, as observed after all opportunistic tasks of a worker were stopped at
+// once.
+class ReportedLatency {
  public:
   auto After(std::chrono::duration<double> time, double latency_ms)
       -> std::chrono::milliseconds {
     constexpr std::chrono::duration<double> kSmoothing{0.5};
-    const double kept = told_ms_ == 0 ? 0 : std::exp(-(time / kSmoothing));
-    told_ms_ = kept * told_ms_ + (1 - kept) * latency_ms;
-    return std::chrono::milliseconds(std::lround(told_ms_));
+    const double kept = reported_ms_ == 0 ? 0 : std::exp(-(time / kSmoothing));
+    reported_ms_ = kept * reported_ms_ + (1 - kept) * latency_ms;
+    return std::chrono::milliseconds(std::lround(reported_ms_));
   }
 
  private:
-  double told_ms_ = 0;
+  double reported_ms_ = 0;
 };
 
 auto Serving(uint64_t target_ms) -> PacedRun {
@@ -43,7 +44,7 @@
   return run;
 }
 
-auto Filler(uint64_t number, const std::string& image) -> PacedRun {
+auto OpportunisticRun(uint64_t number, const std::string& image) -> PacedRun {
   PacedRun run;
   run.set_run(number);
   run.set_image(image);
@@ -62,17 +63,19 @@
 struct PaceCase {
   std::string name;
   uint32_t latency_ms = 0;
-  uint32_t filler_load = 0;
-  // Of the first and the second filler; the second's image disturbs nobody.
+  uint32_t opportunistic_load = 0;
+  // Expected pace of the first and the second opportunistic run; the second's
+  // image slows down no other run.
   uint32_t first_percent = 100;
   uint32_t second_percent = 100;
 };
 
-class FillerPacingTest : public testing::TestWithParam<PaceCase> {};
+class OpportunisticPacingTest : public testing::TestWithParam<PaceCase> {};
 
-TEST_P(FillerPacingTest, SlowsWhoDisturbs) {
+TEST_P(OpportunisticPacingTest, ThrottlesTheInterferingRun) {
   OpportunisticPacing pacing{OpportunisticPacingOptions()};
-  pacing.SetRuns({Serving(100), Filler(2, "heavy"), Filler(3, "light")});
+  pacing.SetRuns({Serving(100), OpportunisticRun(2, "heavy"),
+                  OpportunisticRun(3, "light")});
   ImagePressure heavy;
   heavy.set_serving_image("serving");
   heavy.set_filler_image("heavy");
@@ -82,11 +85,11 @@
   light.set_pressure(0);
   pacing.SetPressures({heavy, light});
   std::map<uint64_t, uint32_t> percents;
-  const auto changes = pacing.OnListing(
-      TimePoint(std::chrono::seconds(100)),
-      {Row(kServing, GetParam().latency_ms), Row(2, GetParam().filler_load),
-       Row(3, GetParam().filler_load)},
-      kCapacity);
+  const auto changes = pacing.OnListing(TimePoint(std::chrono::seconds(100)),
+                                        {Row(kServing, GetParam().latency_ms),
+                                         Row(2, GetParam().opportunistic_load),
+                                         Row(3, GetParam().opportunistic_load)},
+                                        kCapacity);
   for (const auto& change : changes) {
     percents[change.run.run()] = change.percent;
   }
@@ -96,21 +99,22 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    FillerPacingTest,
+    OpportunisticPacingTest,
     testing::Values(
         PaceCase{"far_from_target", 20, 0, 100, 100},
-        // Room for 0.84 of the base; at full speed the heavy one takes 2.
+        // There is room for 0.84 of the base; at full speed the heavy one takes
+        // 2.
         PaceCase{"near_target", 50, 0, 42, 100},
         PaceCase{"at_target", 95, 0, 0, 100},
-        // The base alone is beyond the target: slowing would help nobody.
+        // The base alone exceeds the target, so throttling would not help.
         PaceCase{"over_target_anyway", 200, 0, 100, 100}),
     [](const auto& info) { return info.param.name; });
 
-// Symptom: a filler stands still for seconds. Cause: it was to work at a few
-// percent, and changes of a few percent were not ordered.
-TEST(FillerPacingTest, StandstillEndsWithASmallChange) {
+// Guards against an opportunistic run that stalls for seconds because it was to
+// run at a few percent, and changes of a few percent were not ordered.
+TEST(OpportunisticPacingTest, StallEndsWithASmallChange) {
   OpportunisticPacing pacing{OpportunisticPacingOptions()};
-  pacing.SetRuns({Serving(100), Filler(2, "heavy")});
+  pacing.SetRuns({Serving(100), OpportunisticRun(2, "heavy")});
   TimePoint now{std::chrono::seconds(100)};
   auto changes =
       pacing.OnListing(now, {Row(kServing, 100), Row(2, 0)}, kCapacity);
@@ -126,24 +130,25 @@
   EXPECT_GT(changes[0].percent, 0U);
 }
 
-// The delay of what a worker tells, and two looks to be sure.
-constexpr int kLooksToResume = 4;
+// Listings until runs resume: the delay of the reported latency, and two
+// listings for confirmation.
+constexpr int kListingsToResume = 4;
 
 struct OverCase {
   std::string name;
-  // Latency, against a target of 100 ms, once the fillers are stopped.
-  uint32_t alone_ms = 0;
+  // Latency once the opportunistic runs are stopped; the target is 100 ms.
+  uint32_t stopped_latency_ms = 0;
 };
 
-class LongOverTest : public testing::TestWithParam<OverCase> {};
+class OverTargetTest : public testing::TestWithParam<OverCase> {};
 
-// Symptom: a run that serves is over its target for 4 s and more, by what
-// fillers do. Sequence: the pressures that were learned are too low, so that
-// the rise is put down to the run's own load. Cause: fillers yielded by the
-// pressures alone.
-TEST_P(LongOverTest, FillersStopWhateverThePressuresSay) {
+// Guards against a serving run that exceeds its target for 4 s and more because
+// of opportunistic runs. If the learned pressures are too low, the rise is
+// attributed to the serving run's own load, and opportunistic runs were
+// throttled by the pressures alone.
+TEST_P(OverTargetTest, OpportunisticRunsStopWhateverThePressures) {
   OpportunisticPacing pacing{OpportunisticPacingOptions()};
-  pacing.SetRuns({Serving(100), Filler(2, "heavy")});
+  pacing.SetRuns({Serving(100), OpportunisticRun(2, "heavy")});
   ImagePressure none;
   none.set_serving_image("serving");
   none.set_filler_image("heavy");
@@ -151,129 +156,137 @@
   TimePoint now{std::chrono::seconds(100)};
   std::chrono::milliseconds over{0};
   uint32_t percent = 100;
-  ToldLatency told;
-  const auto look = [&](uint32_t latency_ms) -> void {
-    const auto figure =
-        static_cast<uint32_t>(told.After(kLook, latency_ms).count());
+  ReportedLatency reported;
+  const auto listing = [&](uint32_t latency_ms) -> void {
+    const auto reported_ms = static_cast<uint32_t>(
+        reported.After(kListingInterval, latency_ms).count());
     pacing.SetPressures({none});
     const uint32_t load = 8 * percent;
     for (const auto& change : pacing.OnListing(
-             now, {Row(kServing, figure), Row(2, load)}, kCapacity)) {
+             now, {Row(kServing, reported_ms), Row(2, load)}, kCapacity)) {
       percent = change.percent;
     }
-    now += kLook;
+    now += kListingInterval;
   };
-  look(30);
+  listing(30);
   while (percent > 0 && over < std::chrono::seconds(4)) {
-    look(300);
-    over += kLook;
+    listing(300);
+    over += kListingInterval;
   }
   EXPECT_LE(over, std::chrono::milliseconds(2500));
   ASSERT_EQ(percent, 0U);
-  // Not for good: the run is fine again, or the fillers were not the cause.
-  for (int i = 0; i < kLooksToResume; ++i) {
-    look(GetParam().alone_ms);
+  // The stop is temporary: either the serving run meets its target again, or
+  // the opportunistic runs were not the cause.
+  for (int i = 0; i < kListingsToResume; ++i) {
+    listing(GetParam().stopped_latency_ms);
   }
   EXPECT_GT(percent, 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(Table,
-                         LongOverTest,
+                         OverTargetTest,
                          testing::Values(OverCase{"fillers_were_the_cause", 30},
                                          OverCase{"over_alone", 300}),
                          [](const auto& info) { return info.param.name; });
 
-TEST(ImageInterferenceTest, LearnsWhoDisturbs) {
+TEST(ImageInterferenceTest, LearnsWhichImageInterferes) {
   ImageInterference interference;
-  ToldLatency told;
+  ReportedLatency reported;
   TimePoint now{std::chrono::seconds(100)};
-  // Base 50 ms; "heavy" presses with 10, "light" with nothing.
+  // The base is 50 ms; "heavy" has a pressure of 10, "light" of zero.
   for (int round = 0; round < 200; ++round) {
     const bool heavy = round % 3 == 0;
     const bool light = round % 3 == 1;
     const double share = 0.1;
     const double latency = 50 * (1 + (heavy ? 10 * share : 0));
-    std::vector<OpportunisticSample> fillers;
+    std::vector<OpportunisticSample> samples;
     if (heavy) {
-      fillers.push_back({"heavy", share});
+      samples.push_back({"heavy", share});
     }
     if (light) {
-      fillers.push_back({"light", share});
+      samples.push_back({"light", share});
     }
-    now += kLook;
-    interference.Observe(now, {{"serving", 1, told.After(kLook, latency)}},
-                         fillers);
+    now += kListingInterval;
+    interference.Observe(
+        now, {{"serving", 1, reported.After(kListingInterval, latency)}},
+        samples);
   }
   EXPECT_NEAR(interference.Pressure("serving", "heavy"), 10, 2);
   EXPECT_NEAR(interference.Pressure("serving", "light"), 0, 0.5);
   EXPECT_NEAR(interference.base(1).count(), 50, 5);
 }
 
-struct SwingCase {
+struct LoadVariationCase {
   std::string name;
-  // Share of the processors that the heavy and the light filler take, and for
-  // how many looks in a row each works and rests.
+  // Share of the processors that the heavy and the light opportunistic run
+  // take, and the number of consecutive listings for which each runs and
+  // pauses.
   double heavy_share = 0;
   double light_share = 0;
-  int looks = 1;
+  int listings = 1;
 };
 
-class BaseLatencyTest : public testing::TestWithParam<SwingCase> {};
+class BaseLatencyTest : public testing::TestWithParam<LoadVariationCase> {};
 
-// Symptom: a worker's fillers stand still for seconds after a short peak of a
-// serving run's latency, or work on while the run is over its target.
-// Sequence: the run's own load swings within 20 s while fillers come and go.
-// Cause: what fillers did was put down to the run's own load, and the other
-// way round, and either was unlearned slowly.
+// Guards against opportunistic runs that stall for seconds after a short peak
+// of a serving run's latency, or continue while that run exceeds its target.
+// The serving run's own load varies within 20 s while opportunistic runs come
+// and go; effects of the latter were attributed to the former and vice versa,
+// and either error was corrected slowly.
 TEST_P(BaseLatencyTest, IsFollowedWhileFillersComeAndGo) {
-  constexpr int kLooks = 200;
-  constexpr int kLearning = 60;
-  constexpr double kSwing = 0.45;
+  constexpr int kListings = 200;
+  constexpr int kLearningListings = 60;
+  constexpr double kVariation = 0.45;
   ImageInterference interference;
-  ToldLatency told;
+  ReportedLatency reported;
   TimePoint now{std::chrono::seconds(100)};
   double error = 0;
-  for (int look = 0; look < kLooks; ++look) {
-    now += kLook;
+  for (int listing = 0; listing < kListings; ++listing) {
+    now += kListingInterval;
     const double base =
-        40 * std::exp(kSwing * std::sin(look * std::numbers::pi / 20));
-    std::vector<OpportunisticSample> fillers;
+        40 * std::exp(kVariation * std::sin(listing * std::numbers::pi / 20));
+    std::vector<OpportunisticSample> samples;
     double slowdown = 1;
-    if (look / GetParam().looks % 2 == 0) {
-      fillers = {{"heavy", GetParam().heavy_share},
+    if (listing / GetParam().listings % 2 == 0) {
+      samples = {{"heavy", GetParam().heavy_share},
                  {"light", GetParam().light_share}};
       slowdown += 10 * GetParam().heavy_share + 1 * GetParam().light_share;
     }
     interference.Observe(
-        now, {{"serving", 1, told.After(kLook, base * slowdown)}}, fillers);
-    if (look >= kLearning) {
+        now,
+        {{"serving", 1, reported.After(kListingInterval, base * slowdown)}},
+        samples);
+    if (listing >= kLearningListings) {
       error += std::abs(std::log(interference.base(1).count() / base)) /
-               (kLooks - kLearning);
+               (kListings - kLearningListings);
     }
   }
   EXPECT_LT(error, 0.1);
 }
 
-INSTANTIATE_TEST_SUITE_P(Table,
-                         BaseLatencyTest,
-                         testing::Values(SwingCase{"short_runs", 0.2, 0.1, 3},
-                                         SwingCase{"long_runs", 0.2, 0.1, 12},
-                                         SwingCase{"light_only", 0.0, 0.3, 12},
-                                         SwingCase{"crowd", 0.4, 0.2, 5}),
-                         [](const auto& info) { return info.param.name; });
+INSTANTIATE_TEST_SUITE_P(
+    Table,
+    BaseLatencyTest,
+    testing::Values(LoadVariationCase{"short_runs", 0.2, 0.1, 3},
+                    LoadVariationCase{"long_runs", 0.2, 0.1, 12},
+                    LoadVariationCase{"light_only", 0.0, 0.3, 12},
+                    LoadVariationCase{"crowd", 0.4, 0.2, 5}),
+    [](const auto& info) { return info.param.name; });
 
-// Symptom: fillers crowd where they disturb after each change of the owner.
-// Cause: the next owner began with nothing learned.
-TEST(ImageInterferenceTest, NextOwnerGoesOnFromWhatWasLearned) {
+// Guards against opportunistic runs that concentrate where they slow down
+// others after each change of the owner, because the next owner started without
+// the learned pressures.
+TEST(ImageInterferenceTest, NextOwnerContinuesFromTheLearnedPressures) {
   ImageInterference first;
-  ToldLatency told;
+  ReportedLatency reported;
   TimePoint now{std::chrono::seconds(100)};
   for (int round = 0; round < 100; ++round) {
-    now += kLook;
-    first.Observe(now, {{"serving", 1, told.After(kLook, 150)}},
+    now += kListingInterval;
+    first.Observe(now, {{"serving", 1, reported.After(kListingInterval, 150)}},
                   {{"heavy", 0.2}});
-    now += kLook;
-    first.Observe(now, {{"serving", 1, told.After(kLook, 50)}}, {});
+    now += kListingInterval;
+    first.Observe(now, {{"serving", 1, reported.After(kListingInterval, 50)}},
+                  {});
   }
   JobFold fold;
   auto record = MakeRecord(RecordKind::kPressures, "", first.Learned());
--- a/Tests/Jobs/placement_order_test.cc
+++ b/Tests/Jobs/placement_order_test.cc
@@ -14,12 +14,12 @@
 using testing::ElementsAre;
 using testing::IsEmpty;
 
-// Work of each step of the test's jobs.
+// Estimated duration of each step of the test's jobs.
 constexpr milliseconds kStepTime{1000};
 
 class PlacementOrderTest : public testing::Test {
  protected:
-  // A job of steps that follow each other, of two tasks each.
+  // Adds a job of consecutive steps with two tasks each.
   auto Add(const std::string& id, milliseconds received, int steps = 1)
       -> JobWork& {
     auto& stored = stored_.emplace_back(std::make_unique<StoredJob>());
@@ -44,7 +44,7 @@
   auto Update(milliseconds wall) -> void {
     order_.Update(wall, [this](JobWork& work, JobOutlook outlook) -> void {
       work.outlook = outlook;
-      told_.push_back(work.job().id());
+      changed_jobs_.push_back(work.job().id());
     });
   }
 
@@ -61,38 +61,38 @@
   std::vector<std::unique_ptr<StoredJob>> stored_;
   std::vector<std::unique_ptr<JobWork>> work_;
   // Jobs whose outlook has changed.
-  std::vector<std::string> told_;
+  std::vector<std::string> changed_jobs_;
   PlacementOrder order_;
 };
 
-TEST_F(PlacementOrderTest, ServesFirstWhatIsDueFirst) {
+TEST_F(PlacementOrderTest, OrdersStepsByDueTime) {
   Add("later", milliseconds(500));
   Add("sooner", milliseconds(0));
   Update(milliseconds(0));
   EXPECT_THAT(Steps(), ElementsAre("sooner.0", "later.0"));
 }
 
-// Guards against an order that holds only until time has passed: a job that has
-// become late goes behind one that can be in time, also if nothing of it has
-// changed.
-TEST_F(PlacementOrderTest, PutsBackAJobThatTimeHasMadeLate) {
+// Guards against an order that becomes outdated as time passes: a job that has
+// become late is placed behind one that can be in time, even if nothing of it
+// has changed.
+TEST_F(PlacementOrderTest, MovesBackAJobThatHasBecomeLate) {
   Add("sooner", milliseconds(0));
   Add("later", milliseconds(500));
   Update(milliseconds(0));
   Update(milliseconds(1));
-  EXPECT_THAT(told_, ElementsAre("sooner"));
+  EXPECT_THAT(changed_jobs_, ElementsAre("sooner"));
   EXPECT_THAT(Steps(), ElementsAre("later.0", "sooner.0"));
 }
 
-TEST_F(PlacementOrderTest, TakesAJobForInTimeAgainWhenTheClockIsSetBack) {
+TEST_F(PlacementOrderTest, JobIsInTimeAgainWhenTheClockIsSetBack) {
   Add("job", milliseconds(500));
   Update(milliseconds(900));
   Update(milliseconds(400));
-  EXPECT_THAT(told_, ElementsAre("job", "job"));
+  EXPECT_THAT(changed_jobs_, ElementsAre("job", "job"));
   EXPECT_EQ(work_.front()->outlook, JobOutlook::kInTime);
 }
 
-TEST_F(PlacementOrderTest, HoldsNoStepWhoseTasksAllRun) {
+TEST_F(PlacementOrderTest, OmitsAStepWhoseTasksAllRun) {
   JobWork& work = Add("job", milliseconds(0));
   auto& step = work.occurrences.at(0).steps[0];
   step.AddRun(0, {});
@@ -105,7 +105,7 @@
   EXPECT_THAT(Steps(), ElementsAre("job.0"));
 }
 
-TEST_F(PlacementOrderTest, HoldsAStepOnceThoseBeforeItAreDone) {
+TEST_F(PlacementOrderTest, IncludesAStepOnceThePrecedingOnesAreDone) {
   JobWork& work = Add("job", milliseconds(0), /*steps=*/2);
   Update(milliseconds(0));
   EXPECT_THAT(Steps(), ElementsAre("job.0"));
@@ -123,10 +123,10 @@
   order_.Forget(*work_.front());
   Update(milliseconds(5000));
   EXPECT_THAT(Steps(), ElementsAre("kept.0"));
-  EXPECT_THAT(told_, ElementsAre("kept"));
+  EXPECT_THAT(changed_jobs_, ElementsAre("kept"));
 }
 
-TEST(StepWorkTest, CountsTasksThatWait) {
+TEST(StepWorkTest, CountsWaitingTasks) {
   StepWork step(3, TaskWork());
   step.AddRun(0, {});
   EXPECT_EQ(step.waiting(), 2U);
