--- a/Tests/Jobs/task_agent_test.cc
+++ b/Tests/Jobs/task_agent_test.cc
@@ -1,5 +1,5 @@
-// What an agent does with orders when calls to its worker fail, and what a
-// process that has just started may say.
+// Tests of how an agent handles orders when calls to its worker fail, and of
+// what a process that has just started may report.
 
 #include <gtest/gtest.h>
 
@@ -15,10 +15,10 @@
 
 using std::chrono::milliseconds;
 
-constexpr char kWorker[] = "life-1";
+constexpr char kWorkerId[] = "life-1";
 constexpr uint64_t kIncarnation = 5;
 
-// An agent whose calls to the worker are kept until the test answers them.
+// An agent whose calls to the worker are held until the test answers them.
 class TaskAgentTest : public testing::Test {
  protected:
   TaskAgentTest() : agent_(Options(), Hooks()) {}
@@ -52,10 +52,10 @@
     return hooks;
   }
 
-  auto Beat(const std::string& worker) -> void {
+  auto SendHeartbeat(const std::string& worker) -> void {
     WorkerHeartbeat heartbeat;
     heartbeat.worker_id = worker;
-    heartbeat.sequence = ++beats_;
+    heartbeat.sequence = ++heartbeats_;
     agent_.OnHeartbeat(now_, heartbeat);
   }
 
@@ -63,7 +63,7 @@
     AgentOrders orders;
     orders.set_fence(fence);
     orders.set_owner_incarnation(fence);
-    orders.set_worker_id(kWorker);
+    orders.set_worker_id(kWorkerId);
     orders.set_granted_from_us(static_cast<uint64_t>(
         std::chrono::duration_cast<std::chrono::microseconds>(
             now_.time_since_epoch())
@@ -77,7 +77,7 @@
     start->set_order(1);
     start->set_run(10);
     start->mutable_task()->set_job("job");
-    start->set_worker_id(kWorker);
+    start->set_worker_id(kWorkerId);
     start->set_repeated(repeated);
     return orders;
   }
@@ -87,7 +87,7 @@
     stop->set_order(2);
     stop->set_run(run);
     stop->mutable_task()->set_job("job");
-    stop->set_worker_id(kWorker);
+    stop->set_worker_id(kWorkerId);
     return orders;
   }
 
@@ -100,7 +100,7 @@
     done(now_, listing);
   }
 
-  // The outcome that was last reported of order 1.
+  // Returns the outcome that was last reported for order 1.
   auto Result() const -> std::optional<OrderOutcome> {
     for (auto report = reports_.rbegin(); report != reports_.rend(); ++report) {
       for (const auto& result : report->results()) {
@@ -113,7 +113,7 @@
   }
 
   TimePoint now_{std::chrono::seconds(100)};
-  uint64_t beats_ = 0;
+  uint64_t heartbeats_ = 0;
   std::vector<StartCall> starts_;
   std::vector<StopCall> stops_;
   std::vector<ListCall> lists_;
@@ -126,27 +126,27 @@
 
 struct LeaseCase {
   std::string name;
-  // The process that the grant names.
+  // Incarnation that the grant names.
   uint64_t incarnation = 0;
-  // From the agent's time to that of the grant.
-  milliseconds ahead{0};
+  // How far the time of the grant is ahead of the agent's clock.
+  milliseconds ahead_of_agent{0};
   bool starts = false;
 };
 
 class LeaseTest : public TaskAgentTest,
                   public testing::WithParamInterface<LeaseCase> {};
 
-// Guards against a lease that outlasts what the owner reckons with: after a
-// loss of power the agent's clock begins at zero, and the first orders still
-// name the time of the process before it. In a cut, the worker's tasks then
-// went on while they were started elsewhere.
-TEST_P(LeaseTest, HoldsOnlyForTheProcessThatItWasGrantedTo) {
-  Beat(kWorker);
+// Guards against a lease that lasts longer than the owner assumes. After a loss
+// of power the agent's clock starts at zero, and the first orders still contain
+// the time of the previous process. During a partition, the worker's tasks then
+// continued while they were started elsewhere.
+TEST_P(LeaseTest, IsValidOnlyForTheProcessThatItWasGrantedTo) {
+  SendHeartbeat(kWorkerId);
   auto orders = WithStart(Orders(1), /*repeated=*/false);
   orders.set_granted_to_incarnation(GetParam().incarnation);
   orders.set_granted_from_us(
       orders.granted_from_us() +
-      std::chrono::microseconds(GetParam().ahead).count());
+      std::chrono::microseconds(GetParam().ahead_of_agent).count());
   agent_.OnOrders(now_, "owner", orders);
   AnswerList();
   EXPECT_EQ(starts_.size(), GetParam().starts ? 1U : 0U);
@@ -167,10 +167,10 @@
                   false}),
     [](const auto& info) { return info.param.name; });
 
-// Guards against a start in a failure domain that is being emptied, by an order
-// that was under way or is repeated.
+// Guards against a start in a failure domain that is being evacuated, by an
+// order that was in flight or is repeated.
 TEST_F(TaskAgentTest, StartsNothingWhileItsDomainIsEvacuated) {
-  Beat(kWorker);
+  SendHeartbeat(kWorkerId);
   auto orders = WithStart(Orders(1), /*repeated=*/false);
   orders.set_evacuated(true);
   agent_.OnOrders(now_, "owner", orders);
@@ -178,53 +178,53 @@
   EXPECT_TRUE(starts_.empty());
   EXPECT_EQ(Result(), ORDER_REFUSED);
   agent_.OnOrders(now_, "owner", Orders(1));
-  auto later = Orders(1);
-  auto* start = later.add_starts();
+  auto delay = Orders(1);
+  auto* start = delay.add_starts();
   start->set_order(2);
   start->set_run(11);
   start->mutable_task()->set_job("job");
-  start->set_worker_id(kWorker);
-  agent_.OnOrders(now_, "owner", later);
+  start->set_worker_id(kWorkerId);
+  agent_.OnOrders(now_, "owner", delay);
   EXPECT_EQ(starts_.size(), 1U);
 }
 
-// Guards against starts that rest on room that the worker has no more: its
-// owner hears of the change with the heartbeat, not with the next poll.
-TEST_F(TaskAgentTest, ChangedCapacityIsToldAtOnce) {
+// Guards against starts that rely on room that the worker no longer has: the
+// change is reported to the owner with the heartbeat, not with the next poll.
+TEST_F(TaskAgentTest, ChangedCapacityIsReportedAtOnce) {
   agent_.OnOrders(now_, "owner", Orders(1));
   WorkerHeartbeat heartbeat;
-  heartbeat.worker_id = kWorker;
+  heartbeat.worker_id = kWorkerId;
   for (const uint32_t millicores : {4000U, 4000U, 1000U, 4000U}) {
-    heartbeat.sequence = ++beats_;
+    heartbeat.sequence = ++heartbeats_;
     heartbeat.capacity.set_millicores(millicores);
-    const auto told = reports_.size();
+    const auto reported = reports_.size();
     agent_.OnHeartbeat(now_, heartbeat);
-    if (beats_ > 2) {
-      ASSERT_EQ(reports_.size(), told + 1);
+    if (heartbeats_ > 2) {
+      ASSERT_EQ(reports_.size(), reported + 1);
       EXPECT_EQ(reports_.back().capacity().millicores(), millicores);
     }
   }
 }
 
-struct CrashTellCase {
+struct CrashReportCase {
   std::string name;
-  // The start's call was answered before the crash.
+  // Whether the start's call was answered before the crash.
   bool answered = true;
-  // A listing after the start showed no run.
+  // Whether a listing after the start showed no run.
   bool listed_without = false;
-  bool drains = false;
-  // From the crash to the owner's next orders.
-  milliseconds later{300};
-  bool told = false;
+  bool drains_first = false;
+  // Time from the crash to the owner's next orders.
+  milliseconds delay{300};
+  bool reported = false;
 };
 
-class CrashTellTest : public TaskAgentTest,
-                      public testing::WithParamInterface<CrashTellCase> {};
+class CrashReportTest : public TaskAgentTest,
+                        public testing::WithParamInterface<CrashReportCase> {};
 
-// Guards against a crash that no later owner hears of, since the worker's next
-// life lists nothing of it.
-TEST_P(CrashTellTest, NextOwnerIsToldWhatACrashEnded) {
-  Beat(kWorker);
+// Guards against a crash that is never reported to a later owner, since the
+// listing of the worker's next process does not contain it.
+TEST_P(CrashReportTest, NextOwnerReceivesTheRunsThatACrashEnded) {
+  SendHeartbeat(kWorkerId);
   agent_.OnOrders(now_, "owner", Orders(1));
   AnswerList();
   agent_.OnOrders(now_, "owner", WithStart(Orders(1), /*repeated=*/false));
@@ -233,23 +233,24 @@
   }
   now_ += milliseconds(10);
   if (GetParam().listed_without) {
-    // The listing that was asked for before the start, then one after it.
+    // The first listing was requested before the start, the second one after
+    // it.
     AnswerList();
     AnswerList();
   }
-  if (GetParam().drains) {
+  if (GetParam().drains_first) {
     WorkerHeartbeat heartbeat;
-    heartbeat.worker_id = kWorker;
-    heartbeat.sequence = ++beats_;
+    heartbeat.worker_id = kWorkerId;
+    heartbeat.sequence = ++heartbeats_;
     heartbeat.draining = true;
     agent_.OnHeartbeat(now_, heartbeat);
   }
-  Beat("life-2");
-  now_ += GetParam().later;
+  SendHeartbeat("life-2");
+  now_ += GetParam().delay;
   agent_.OnOrders(now_, "next", Orders(2));
   ASSERT_EQ(reports_.back().fence(), 2U);
-  ASSERT_EQ(reports_.back().crashed_size(), GetParam().told ? 1 : 0);
-  if (GetParam().told) {
+  ASSERT_EQ(reports_.back().crashed_size(), GetParam().reported ? 1 : 0);
+  if (GetParam().reported) {
     EXPECT_EQ(reports_.back().crashed(0).run(), 10U);
     EXPECT_EQ(reports_.back().crashed(0).task().job(), "job");
   }
@@ -257,33 +258,34 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    CrashTellTest,
-    testing::Values(CrashTellCase{"started", true, false, false,
-                                  milliseconds(300), true},
-                    CrashTellCase{"start_without_an_answer", false, false,
-                                  false, milliseconds(300), true},
-                    CrashTellCase{"long_ago", true, false, false,
-                                  milliseconds(60000), false},
-                    CrashTellCase{"over_before", true, true, false,
-                                  milliseconds(300), false},
-                    CrashTellCase{"drained_before", true, false, true,
-                                  milliseconds(300), false}),
+    CrashReportTest,
+    testing::Values(CrashReportCase{"started", true, false, false,
+                                    milliseconds(300), true},
+                    CrashReportCase{"start_without_an_answer", false, false,
+                                    false, milliseconds(300), true},
+                    CrashReportCase{"long_ago", true, false, false,
+                                    milliseconds(60000), false},
+                    CrashReportCase{"over_before", true, true, false,
+                                    milliseconds(300), false},
+                    CrashReportCase{"drained_before", true, false, true,
+                                    milliseconds(300), false}),
     [](const auto& info) { return info.param.name; });
 
 // Guards against reports that grow with each crash of a worker that crashes
-// again and again.
-TEST_F(TaskAgentTest, StoredCrashesAreToldNoMore) {
-  Beat(kWorker);
+// repeatedly.
+TEST_F(TaskAgentTest, StoredCrashesAreNotReportedAgain) {
+  SendHeartbeat(kWorkerId);
   agent_.OnOrders(now_, "owner", Orders(1));
   AnswerList();
   agent_.OnOrders(now_, "owner", WithStart(Orders(1), /*repeated=*/false));
   on_start_(now_, {WorkerCallOutcome::kDone});
-  Beat("life-2");
+  SendHeartbeat("life-2");
   auto orders = Orders(1);
   orders.set_crashes_logged(1);
   orders.set_crashes_of_incarnation(99);
   agent_.OnOrders(now_, "owner", orders);
-  EXPECT_EQ(reports_.back().crashed_size(), 1) << "stored of another process";
+  EXPECT_EQ(reports_.back().crashed_size(), 1)
+      << "crash count is of another agent process";
   orders.set_crashes_of_incarnation(kIncarnation);
   agent_.OnOrders(now_, "owner", orders);
   EXPECT_EQ(reports_.back().crashed_size(), 0);
@@ -291,26 +293,28 @@
 
 struct LeaveCase {
   std::string name;
-  // Lives of the worker that the agent has heard of, and the one that leaves.
-  std::vector<std::string> heard;
-  std::string leaves;
+  // Worker processes that the agent has received heartbeats from, and the one
+  // that leaves.
+  std::vector<std::string> known_workers;
+  std::string leaving_worker;
   bool nothing_runs = false;
 };
 
 class LeaveTest : public TaskAgentTest,
                   public testing::WithParamInterface<LeaveCase> {};
 
-// Symptom: after a takeover no task of before runs for 20 s. Cause: an agent
-// whose worker had left told the new owner nothing about it, so that the census
-// waited. It may only say so of the life that it knew last: a process that has
-// just started may hear an older life leave, late, before it hears of the
-// worker on which tasks run.
-TEST_P(LeaveTest, SaysThatNothingRunsOnlyOfTheLifeItKnew) {
+// Guards against tasks from before a takeover not running for 20 s because an
+// agent whose worker had left did not report it to the new owner, so that the
+// reconciliation waited. The agent may report it only for the worker process
+// that it knew last: an agent that has just started may learn late that an
+// older worker process has left, before it learns of the worker on which tasks
+// run.
+TEST_P(LeaveTest, ReportsNothingRunsOnlyForTheKnownWorkerProcess) {
   agent_.OnOrders(now_, "owner", Orders(1));
-  for (const auto& life : GetParam().heard) {
-    Beat(life);
+  for (const auto& known_worker : GetParam().known_workers) {
+    SendHeartbeat(known_worker);
   }
-  agent_.OnLeave(now_, GetParam().leaves);
+  agent_.OnLeave(now_, GetParam().leaving_worker);
   agent_.OnOrders(now_, "owner", Orders(2));
   EXPECT_EQ(reports_.back().fence(), 2U);
   EXPECT_EQ(reports_.back().worker_lapsed(), GetParam().nothing_runs);
@@ -319,22 +323,23 @@
 INSTANTIATE_TEST_SUITE_P(
     Table,
     LeaveTest,
-    testing::Values(LeaveCase{"life_that_it_knew", {kWorker}, kWorker, true},
-                    LeaveCase{"life_unknown_after_a_start", {}, kWorker, false},
-                    LeaveCase{"earlier_life_after_the_next_came",
-                              {kWorker, "life-2"},
-                              kWorker,
-                              false}),
+    testing::Values(
+        LeaveCase{"life_that_it_knew", {kWorkerId}, kWorkerId, true},
+        LeaveCase{"life_unknown_after_a_start", {}, kWorkerId, false},
+        LeaveCase{"earlier_life_after_the_next_came",
+                  {kWorkerId, "life-2"},
+                  kWorkerId,
+                  false}),
     [](const auto& info) { return info.param.name; });
 
-// Symptom: a task runs in two places. Sequence: the agent starts a run and is
-// killed before the owner hears of it; the next process gets the order again,
-// before the worker's first heartbeat. Cause: the process took the order for
-// one to another life of the worker and refused it.
-TEST_F(TaskAgentTest, ProcessThatKnowsNoWorkerRefusesNothing) {
+// Guards against a task that runs in two places. The agent starts a run and is
+// killed before it reports it to the owner; the next agent process receives the
+// order again, before the worker's first heartbeat. It took the order for one
+// to another worker process and rejected it.
+TEST_F(TaskAgentTest, ProcessThatKnowsNoWorkerRejectsNothing) {
   agent_.OnOrders(now_, "owner", WithStart(Orders(1), /*repeated=*/true));
   EXPECT_EQ(Result(), std::nullopt);
-  Beat(kWorker);
+  SendHeartbeat(kWorkerId);
   AnswerList();
   agent_.OnOrders(now_, "owner", WithStart(Orders(1), /*repeated=*/true));
   ASSERT_EQ(starts_.size(), 1U);
@@ -342,12 +347,12 @@
   EXPECT_EQ(Result(), ORDER_DONE);
 }
 
-// Symptom: a task runs in two places. Sequence: a start gets no answer, its
-// repeat finds no room, the task goes elsewhere, and the first copy is carried
-// out late, when there is room. Why not here: the run is stopped at the worker
-// first, which then refuses it for good.
-TEST_F(TaskAgentTest, RefusalAfterALostAnswerWaitsForTheStop) {
-  Beat(kWorker);
+// Guards against a task that runs in two places: a start gets no answer, its
+// repeat finds no room, the task is started elsewhere, and the first copy of
+// the call is carried out late, when there is room. The agent prevents it by
+// stopping the run at the worker first, which then rejects the run permanently.
+TEST_F(TaskAgentTest, RejectionAfterALostAnswerWaitsForTheStop) {
+  SendHeartbeat(kWorkerId);
   agent_.OnOrders(now_, "owner", Orders(1));
   AnswerList();
   agent_.OnOrders(now_, "owner", WithStart(Orders(1), /*repeated=*/false));
@@ -361,7 +366,7 @@
   ASSERT_EQ(stops_.size(), 1U);
   on_stop_(now_, {WorkerCallOutcome::kDone});
   EXPECT_EQ(Result(), std::nullopt);
-  // A listing that was asked for before the stop proves nothing.
+  // A listing that was requested before the stop proves nothing.
   AnswerList();
   EXPECT_EQ(Result(), std::nullopt);
   now_ += milliseconds(500);
@@ -370,11 +375,11 @@
   EXPECT_EQ(Result(), ORDER_NO_ROOM);
 }
 
-// Symptom: a task runs in two places. Sequence: an agent is frozen with an
-// order that it has not given; the owner takes the worker for lost; the agent
-// wakes up, gets a new lease, and gives the order.
-TEST_F(TaskAgentTest, OrderOfAnEarlierLeaseIsRefused) {
-  Beat(kWorker);
+// Guards against a task that runs in two places: an agent freezes with an order
+// that it has not forwarded, the owner declares the worker lost, and the agent
+// resumes, gets a new lease and forwards the order.
+TEST_F(TaskAgentTest, OrderOfAnEarlierLeaseIsRejected) {
+  SendHeartbeat(kWorkerId);
   agent_.OnOrders(now_, "owner", Orders(1));
   AnswerList();
   agent_.OnOrders(now_, "owner", WithStart(Orders(1), /*repeated=*/false));
@@ -385,9 +390,9 @@
   start->set_order(2);
   start->set_run(11);
   start->mutable_task()->set_job("job");
-  start->set_worker_id(kWorker);
+  start->set_worker_id(kWorkerId);
   now_ += std::chrono::seconds(20);
-  // The grant is counted from when the agent last reported, long ago.
+  // The grant starts at the time of the agent's last report, long ago.
   agent_.OnOrders(now_, "owner", late);
   EXPECT_EQ(starts_.size(), 1U);
 }
@@ -395,7 +400,7 @@
 struct WithdrawnCase {
   std::string name;
   bool repeated = false;
-  // Of the stop that comes with the start; the start's run is 10.
+  // Run of the stop that comes with the start; the start's run is 10.
   uint64_t stopped_run = 10;
   std::size_t starts = 0;
 };
@@ -404,9 +409,9 @@
                            public testing::WithParamInterface<WithdrawnCase> {};
 
 // Guards against a task that is started long after its job was cancelled: the
-// start was lost on its way, and is sent again beside the stop.
+// start was lost in transit, and is sent again together with the stop.
 TEST_P(WithdrawnStartTest, IsNotCarriedOut) {
-  Beat(kWorker);
+  SendHeartbeat(kWorkerId);
   agent_.OnOrders(now_, "owner", Orders(1));
   AnswerList();
   agent_.OnOrders(now_, "owner",
@@ -414,24 +419,25 @@
                            GetParam().stopped_run));
   EXPECT_EQ(starts_.size(), GetParam().starts);
   EXPECT_FALSE(stops_.empty());
-  const bool refused = GetParam().starts == 0 && !GetParam().repeated;
-  EXPECT_EQ(Result(), refused ? std::optional(ORDER_REFUSED) : std::nullopt);
+  const bool rejected = GetParam().starts == 0 && !GetParam().repeated;
+  EXPECT_EQ(Result(), rejected ? std::optional(ORDER_REFUSED) : std::nullopt);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
     WithdrawnStartTest,
     testing::Values(WithdrawnCase{"never_sent", false, 10, 0},
-                    // An earlier copy may still be carried out: it is stopped
-                    // before it is said to be refused.
+                    // An earlier copy may still be carried out, so the run is
+                    // stopped before it is reported as rejected.
                     WithdrawnCase{"sent_before", true, 10, 0},
                     WithdrawnCase{"later_run_stopped", false, 11, 0},
                     WithdrawnCase{"earlier_run_stopped", false, 9, 1}),
     [](const auto& info) { return info.param.name; });
 
-// Guards against a start carried out although its stop, unanswered, came first.
+// Guards against a start that is carried out although its stop arrived first
+// and has not been answered.
 TEST_F(TaskAgentTest, StartThatComesAfterItsStopIsNotCarriedOut) {
-  Beat(kWorker);
+  SendHeartbeat(kWorkerId);
   agent_.OnOrders(now_, "owner", Orders(1));
   AnswerList();
   const auto stopping = WithStop(Orders(1), 10);
@@ -442,12 +448,12 @@
 }
 
 TEST_F(TaskAgentTest, DrainingWorkerGetsNoStart) {
-  Beat(kWorker);
+  SendHeartbeat(kWorkerId);
   agent_.OnOrders(now_, "owner", Orders(1));
   AnswerList();
   WorkerHeartbeat leaving;
-  leaving.worker_id = kWorker;
-  leaving.sequence = ++beats_;
+  leaving.worker_id = kWorkerId;
+  leaving.sequence = ++heartbeats_;
   leaving.draining = true;
   agent_.OnHeartbeat(now_, leaving);
   agent_.OnOrders(now_, "owner", WithStart(Orders(1), /*repeated=*/false));
@@ -456,7 +462,7 @@
 }
 
 TEST_F(TaskAgentTest, ReplacedOwnerGetsNothingButTheFence) {
-  Beat(kWorker);
+  SendHeartbeat(kWorkerId);
   agent_.OnOrders(now_, "new", Orders(2));
   AnswerList();
   reports_.clear();
@@ -466,8 +472,8 @@
   EXPECT_EQ(reports_[0].fence(), 2U);
 }
 
-TEST_F(TaskAgentTest, SilentWorkersLeaseIsNotRenewed) {
-  Beat(kWorker);
+TEST_F(TaskAgentTest, UnresponsiveWorkersLeaseIsNotRenewed) {
+  SendHeartbeat(kWorkerId);
   agent_.OnOrders(now_, "owner", Orders(1));
   AnswerList();
   ASSERT_GT(lists_.back().deadline.count(), 0);
@@ -477,12 +483,12 @@
   EXPECT_EQ(lists_.back().deadline.count(), 0);
 }
 
-// Symptom: a task runs in two places. Sequence: a worker falls silent, its
-// lease runs out, the owner takes its runs for lost; the agent's next report
-// lists them as before. Cause: the listing of before the silence was told
-// again.
-TEST_F(TaskAgentTest, SilentWorkersRunsAreNotTold) {
-  Beat(kWorker);
+// Guards against a task that runs in two places. A worker becomes unresponsive,
+// its lease expires, the owner declares its runs lost, and the agent's next
+// report lists them as before, since it repeated the listing from before the
+// worker became unresponsive.
+TEST_F(TaskAgentTest, UnresponsiveWorkersRunsAreNotReported) {
+  SendHeartbeat(kWorkerId);
   agent_.OnOrders(now_, "owner", Orders(1));
   RunningTask row;
   row.mutable_task()->set_job("job");
@@ -495,27 +501,31 @@
   EXPECT_TRUE(reports_.back().running().empty());
 }
 
-// Symptom: a task stays down for as long as its worker is silent, with room for
-// it elsewhere. Sequence: a worker falls silent; a start to it gets no answer
-// and is made again. Cause: the owner keeps a start without a result, and the
-// agent never gave one: each repeat carried a later deadline, so that the
-// worker's lease did not run out for sure. Repeats carry no later deadline than
-// the lease that the worker has.
-TEST_F(TaskAgentTest, StartToASilentWorkerIsRefusedOnceItsLeaseIsOver) {
-  Beat(kWorker);
-  // Until no lease can hold that an earlier process of the agent has renewed.
-  const TimePoint known = now_ + TaskAgentOptions().longest_lease;
-  while (now_ <= known) {
+// Guards against a task that is not restarted elsewhere for as long as its
+// worker is unresponsive. A start to the worker gets no answer and is repeated.
+// The owner keeps a start without a result, and the agent never gave one: each
+// repeat carried a later deadline, so that the worker's lease was never certain
+// to have expired. Repeats carry no later deadline than that of the worker's
+// lease.
+TEST_F(TaskAgentTest,
+       StartToAnUnresponsiveWorkerIsRejectedOnceItsLeaseHasExpired) {
+  SendHeartbeat(kWorkerId);
+  // Waits until no lease renewed by an earlier process of the agent can be
+  // valid.
+  const TimePoint leases_expired_at = now_ + TaskAgentOptions().max_lease;
+  while (now_ <= leases_expired_at) {
     agent_.OnOrders(now_, "owner", Orders(1));
     now_ += milliseconds(300);
     AnswerList();
   }
-  const TimePoint silent_since = now_;
+  const TimePoint unresponsive_since = now_;
   constexpr milliseconds kTimeout{400};
-  // A lease of 5 s, what clocks may differ in it, and a call under way.
+  // The time of a lease of 5 s, the clock difference over that time, and a call
+  // in flight.
   constexpr milliseconds kSettledWithin{6000};
-  while (now_ < silent_since + kSettledWithin) {
-    agent_.OnOrders(now_, "owner", WithStart(Orders(1), now_ > silent_since));
+  while (now_ < unresponsive_since + kSettledWithin) {
+    agent_.OnOrders(now_, "owner",
+                    WithStart(Orders(1), now_ > unresponsive_since));
     now_ += kTimeout;
     const auto unanswered = std::exchange(on_start_, nullptr);
     if (unanswered) {
@@ -528,18 +538,18 @@
   EXPECT_EQ(Result(), ORDER_REFUSED);
   EXPECT_TRUE(reports_.back().worker_lapsed());
   ASSERT_GT(starts_.size(), 2U);
-  // The first was called before the silence was known.
+  // The first start was sent before the worker was known to be unresponsive.
   for (const auto& start : starts_) {
     EXPECT_LE(start.deadline, starts_.front().deadline);
   }
 }
 
-TEST_F(TaskAgentTest, HeartbeatOfALifeThatIsOverIsNotTaken) {
-  Beat("life-1");
-  Beat("life-2");
+TEST_F(TaskAgentTest, HeartbeatOfAnEndedWorkerProcessIsRejected) {
+  SendHeartbeat("life-1");
+  SendHeartbeat("life-2");
   WorkerHeartbeat late;
   late.worker_id = "life-1";
-  late.sequence = ++beats_;
+  late.sequence = ++heartbeats_;
   EXPECT_FALSE(agent_.OnHeartbeat(now_, late));
 }
 
--- a/Tests/Jobs/worker_changes_test.cc
+++ b/Tests/Jobs/worker_changes_test.cc
@@ -40,7 +40,7 @@
   EXPECT_THAT(Since(changes_.mark()), IsEmpty());
 }
 
-TEST_F(WorkerChangesTest, NamesOnceWhatHasChangedSinceTheMark) {
+TEST_F(WorkerChangesTest, ListsEachChangedWorkerOnce) {
   const uint64_t mark = changes_.mark();
   changes_.Record(workers_[1]);
   changes_.Record(workers_[0]);
