--- a/Source/Jobs/worker_view.h
+++ b/Source/Jobs/worker_view.h
@@ -107,7 +107,7 @@
   // are counted separately.
   ResourceAmounts held;
   int64_t spare_millicores_used = 0;
-  // Runs with a target latency; see FillerSpeed.
+  // Runs with a target latency; see OpportunisticSpeed.
   std::map<uint64_t, ServingRun> serving;
   // Incremented with each change of the runs or of what is known about them.
   uint64_t load_version = 1;
