--- a/Source/Daemon/operator_api.cc
+++ b/Source/Daemon/operator_api.cc
@@ -65,7 +65,7 @@
              (operation == "evict" && request.method == "POST")) {
     HandleTask(operation, request, respond);
   } else {
-    respond({kNotFound, {}, "Unknown operator call.\n"});
+    respond({kNotFound, {}, "No such operator call.\n"});
   }
 }
 
@@ -74,9 +74,7 @@
                              const HttpResponder& respond) -> void {
   const auto task = TaskOf(request);
   if (!task) {
-    respond({kBadRequest,
-             {},
-             "The parameters partner, job and index are required.\n"});
+    respond({kBadRequest, {}, "partner, job and index are needed.\n"});
     return;
   }
   const auto answer = [respond](const auto& message) -> void {
--- a/Source/Jobs/entry_callers.cc
+++ b/Source/Jobs/entry_callers.cc
@@ -39,9 +39,8 @@
   // longer.
   const bool matches = queue != nullptr && (id.empty() || CheckJobId(id).ok());
   if (!matches && !operator_follower_.CaughtUpWithin(now, kCurrentReadAge)) {
-    respond(
-        VerdictReply(JobVerdict::kUnavailable,
-                     "The local copy of the configuration may be outdated."));
+    respond(VerdictReply(JobVerdict::kUnavailable,
+                         "The configuration may have changed."));
     return;
   }
   if (queue == nullptr) {
@@ -127,8 +126,7 @@
     return;
   }
   if (!CheckJobId(id).ok()) {
-    respond(
-        VerdictReply(JobVerdict::kNoSuchJob, "The id is not a valid job id."));
+    respond(VerdictReply(JobVerdict::kNoSuchJob, "No job has such an id."));
     return;
   }
   // The job's submission may already be in the log, or in transit from any
@@ -195,7 +193,7 @@
   if (!caller_appends_.accepts(now) || releasing_) {
     // Nothing was sent, so the record is certainly not stored.
     Reject(submission,
-           releasing_ ? "this entry is stopping" : "the log does not respond");
+           releasing_ ? "this entry is stopping" : "the log does not answer");
     return;
   }
   const uint64_t ticket = next_ticket_++;
@@ -226,7 +224,7 @@
                {{"job", item->second.job},
                 {"why", "the log did not respond within the deadline"}});
     item->second.respond(VerdictReply(
-        JobVerdict::kUnknown, "The log did not respond within the deadline."));
+        JobVerdict::kUnknown, "The log did not answer within the deadline."));
     item = submissions_.erase(item);
   }
 }
--- a/Source/Jobs/entry_decisions.cc
+++ b/Source/Jobs/entry_decisions.cc
@@ -304,7 +304,7 @@
     const Submission submission = std::move(found->second);
     submissions_.erase(found);
     if (entry.outcome == EntryOutcome::kNotStored) {
-      Reject(submission, "the log rejected the record");
+      Reject(submission, "the log refused it");
       continue;
     }
     metrics_->RecordLatency("rhubarbhaven_store_seconds",
--- a/Source/Journal/config_fold.cc
+++ b/Source/Journal/config_fold.cc
@@ -76,7 +76,7 @@
     }
     if (status.ok() && !keys.insert(KeyText(item.key())).second) {
       status = absl::InvalidArgumentError(absl::StrCat(
-          KeyText(item.key()), ": appears twice in one change; list it once"));
+          KeyText(item.key()), ": stands twice in one change; name it once"));
     }
   }
   for (const auto& item : items) {
--- a/Source/Placement/explanation.cc
+++ b/Source/Placement/explanation.cc
@@ -118,16 +118,16 @@
   }
   if (counts.accepting == 0) {
     return "none of the " + std::to_string(counts.large_enough) +
-           " instances that are large enough takes new work now "
-           "(unreachable, draining or quarantined)";
+           " instances that are large enough takes new work now (silent, "
+           "draining or set aside)";
   }
   if (counts.with_room == 0) {
     return "all " + std::to_string(counts.accepting) +
            " instances that are large enough are in use";
   }
   return std::to_string(counts.with_room) +
-         " instances have room; waits for its turn, for a rack below the "
-         "job's max_per_rack, or for an instance whose service tolerates it";
+         " instances have room; waits for its turn, for a rack below the job's "
+         "max_per_rack, or for an instance whose service bears it";
 }
 
 }  // namespace
@@ -161,7 +161,7 @@
   }
   std::string text = "waits: " + ExplainWait(cell, job, *key, need, counts);
   if (now - waiting->second.since >= options.ageing) {
-    text += "; has aged into a higher urgency class";
+    text += "; has aged by a class";
   }
   return {false, text};
 }
--- a/Source/Placement/placement_round.cc
+++ b/Source/Placement/placement_round.cc
@@ -184,7 +184,7 @@
   if (!preemption.has_value()) {
     return false;
   }
-  const std::string why = "preempted by " + TaskName(cell_->jobs().Id(task));
+  const std::string why = "makes room for " + TaskName(cell_->jobs().Id(task));
   for (const TaskKey victim : preemption->victims) {
     Evict(victim, why);
   }
--- a/Source/Placement/step_control.cc
+++ b/Source/Placement/step_control.cc
@@ -29,9 +29,8 @@
 auto Describe(const char* what, const RunningEffect& task, double level)
     -> std::string {
   return std::string(what) + ": the job is expected to add " +
-         Percent(task.effect) +
-         " to the service's p99, which is expected to be " + Percent(level) +
-         " above its target";
+         Percent(task.effect) + " to the service's p99, which is expected at " +
+         Percent(level) + " over its target";
 }
 
 // Returns the wait before a task is moved, in units of `hold`. A higher weight
@@ -147,10 +146,9 @@
   if (best == nullptr) {
     return std::nullopt;
   }
-  return InterferenceAction{
-      InterferenceStep::kMove, best->task,
-      Describe("moved because throttling was not sufficient", *best,
-               level.measured)};
+  return InterferenceAction{InterferenceStep::kMove, best->task,
+                            Describe("moved, since throttling did not suffice",
+                                     *best, level.measured)};
 }
 
 auto StepControl::ChooseUnthrottle(const InterferenceOptions& options,
--- a/Source/Placement/worker_health.cc
+++ b/Source/Placement/worker_health.cc
@@ -190,9 +190,9 @@
     worker.quarantine_ends = now + worker.quarantine_duration;
     worker.probe_started.reset();
     worker.reason = std::to_string(worker.streak.size()) +
-                    " distinct jobs failed there in a row, " +
+                    " jobs failed there in a row, " +
                     std::to_string(finished_elsewhere) +
-                    " of which have since finished elsewhere; the last was " +
+                    " of which finished elsewhere since; the last was " +
                     worker.streak.back().job;
   }
 
--- a/Source/Tasks/owner_impl.cc
+++ b/Source/Tasks/owner_impl.cc
@@ -182,7 +182,7 @@
     Count("evict_not_placed");
     return;
   }
-  SetStop(attempt, Stop::kEvict, "an operator requested the eviction");
+  SetStop(attempt, Stop::kEvict, "an operator asked");
 }
 
 auto Owner::Impl::Release() -> void {
--- a/Source/Tasks/owner_views.cc
+++ b/Source/Tasks/owner_views.cc
@@ -92,9 +92,9 @@
   }
   if (what == "failed") {
     return absl::StrCat(
-        "failed: no further attempts after ", state->failures(),
-        " failures and ", state->crashes(),
-        " crashes of its instance; last failure: ", state->detail());
+        "failed: gave up after ", state->failures(), " failures and ",
+        state->crashes(),
+        " crashes of its instance, the last: ", state->detail());
   }
   if (state != nullptr && state->placed()) {
     return absl::StrCat(what, ": attempt ", state->attempt(), " on ",
--- a/Source/Transport/http_server.cc
+++ b/Source/Transport/http_server.cc
@@ -265,7 +265,7 @@
     answer.headers["Rhubarbhaven-Verdict"] = VerdictName(schema::NOT_RUN);
     answer.headers["Rhubarbhaven-Reason"] = ReasonName(reason);
     answer.headers["Connection"] = "close";
-    answer.body = absl::StrCat("The body exceeds the limit of ",
+    answer.body = absl::StrCat("The body is over the limit of ",
                                options_.max_body_bytes, " bytes.\n");
     return Queue(connection, answer);
   }
--- a/Tests/Journal/config_fold_test.cc
+++ b/Tests/Journal/config_fold_test.cc
@@ -180,7 +180,7 @@
         FoldCase{"TwiceInOneChange",
                  {{"p",
                    {{"p/team/t", 0, kTeam}, {"p/team/t", 0, kTeam2}},
-                   "appears twice"}},
+                   "stands twice"}},
                  ""},
         FoldCase{"KeyDoesNotFit",
                  {{"p", {{"p/job/t", 0, kTeam}}, "does not fit"},
--- a/Tests/StandIns/Worker/worker_stand_in.cc
+++ b/Tests/StandIns/Worker/worker_stand_in.cc
@@ -30,10 +30,8 @@
 DEFINE_uint32(millicores, 16000, "Processors of the worker.");
 DEFINE_uint64(memory_mb, 60000, "Memory of the worker.");
 DEFINE_uint32(accelerators, 0, "Accelerators of the worker.");
-DEFINE_int32(run_ms,
-             3000,
-             "Run time in ms of a task whose command is unknown.");
-DEFINE_int32(usage_lag_ms, 1000, "Delay in ms with which usage is reported.");
+DEFINE_int32(run_ms, 3000, "How long a task runs whose command is not known.");
+DEFINE_int32(usage_lag_ms, 1000, "How late usage is reported.");
 
 namespace rhubarbhaven {
 namespace {
@@ -144,7 +142,7 @@
     if (Parse(request, &command)) {
       return Json(model_.Command(now, verb, command));
     }
-    return {400, {}, "the body is not a JSON encoding of the call's message\n"};
+    return {400, {}, "the body is not the JSON of the call's message\n"};
   }
 
   auto SendDue() -> void {
